--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -8,20 +8,20 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..policy import interface as i
+from ..policy import interface
 
 WINDOW = 30_000  # ticks that an outcome counts
 HOPS_MOST = 256  # outcomes kept of a host
 LONG_AGO = 10**7
 ANSWERED, ERRED, LOST = "answered", "erred", "lost"
 SORTS = {
-    i.COMMITTED: ANSWERED,
-    i.DECLINED: ANSWERED,
-    i.ERROR: ERRED,
-    i.RESET: ERRED,
-    i.DROPPED: ERRED,
-    i.UNREACHABLE: ERRED,
-    i.TIMED_OUT: LOST,
+    interface.COMMITTED: ANSWERED,
+    interface.DECLINED: ANSWERED,
+    interface.ERROR: ERRED,
+    interface.RESET: ERRED,
+    interface.DROPPED: ERRED,
+    interface.UNREACHABLE: ERRED,
+    interface.TIMED_OUT: LOST,
 }  # of others nothing follows
 
 
@@ -78,7 +78,7 @@
         self.since: dict[int, int] = {}  # host -> hops sent before that tell nothing any more
         self.faulty: set[int] = set()  # hosts with a fault among their outcomes
 
-    def ended(self, now: int, event: i.HopEnded) -> None:
+    def ended(self, now: int, event: interface.AttemptEnded) -> None:
         sort = SORTS.get(event.outcome)
         if sort is None or now - event.elapsed < self.since.get(event.host, 0):
             return
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -9,7 +9,7 @@
 from math import ceil
 from random import Random
 
-from ..policy import interface as i
+from ..policy import interface
 from . import seat as seats
 from .bounds import BOUNDED, CLOCKS, HOST, RATE, RETRIES, TERM, TICKS, TOKEN_LIFE, Limit
 from .holder import Holder
@@ -63,9 +63,11 @@
         self.hosts = next((n for n, limit in self.limits.items() if limit.kind == HOST), None)
         self.firsts = [(n, limit) for n, limit in self.limits.items() if limit.kind == RATE]
         self.further = next((n for n, limit in self.limits.items() if limit.kind == RETRIES), None)
-        self.keys = {(n, 0): (i.FIRST, n if limit.profiles else None) for n, limit in self.firsts}
+        self.keys = {
+            (n, 0): (interface.FIRST_ATTEMPT, n if limit.profiles else None) for n, limit in self.firsts
+        }
         if self.further is not None:
-            self.keys[self.further, 0] = i.FURTHER, None
+            self.keys[self.further, 0] = interface.FURTHER_ATTEMPT, None
         self.units = {key: unit for unit, key in self.keys.items()}
         self.ready, self.by_mark, self.marks, self.own = None, {}, {}, {}
         self.peaks: dict[Unit, tuple[int, int]] = {}  # most places in use lately, when; emptied by time
@@ -86,15 +88,15 @@
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
         self.now = now
-        if isinstance(event, i.TxArrived):  # demand, whether or not it is met
-            unit = self.units.get(self.proxy.allowed.key((i.FIRST, event.profile)))
+        if isinstance(event, interface.TxArrived):  # demand, whether or not it is met
+            unit = self.units.get(self.proxy.allowed.key((interface.FIRST_ATTEMPT, event.profile)))
             if unit is not None:
                 self.demand[unit] += 1 / TICKS
         effects = self.inner.handle(now, event, seen)
-        if self.holder.short and any(isinstance(effect, i.RollBack) for effect in effects):
+        if self.holder.short and any(isinstance(effect, interface.RollBack) for effect in effects):
             short = {unit[0] for unit in self.holder.short}
-            self.refused.update(dict.fromkeys(short, sum(isinstance(e, i.RollBack) for e in effects)))
-        if self.proxy.line or self.holder.short and isinstance(event, i.HopEnded):
+            self.refused.update(dict.fromkeys(short, sum(isinstance(e, interface.RollBack) for e in effects)))
+        if self.proxy.line or self.holder.short and isinstance(event, interface.AttemptEnded):
             self.ask(now)
         return effects
 
@@ -111,7 +113,7 @@
         self.give(now)
         self.ask(now)
         if self.proxy.line:  # guards against entries of those that are gone, where no hop ends
-            self.wake(i.Allowed((), (), self.proxy.allowed.later))
+            self.wake(interface.LimitsUpdated((), (), self.proxy.allowed.later))
 
     def come(self, now: int) -> None:
         """It is the member from now on; a process before it was until now."""
@@ -299,7 +301,7 @@
         used = self.proxy.allowed.used.get(key, 0) - self.seen[unit]
         if used > 0:
             self.seen[unit] += used
-            if key[0] == i.FURTHER:
+            if key[0] == interface.FURTHER_ATTEMPT:
                 self.demand[unit] += used / TICKS
             floor = min(used, int(self.floors[unit]))
             self.floors[unit] -= floor
@@ -311,9 +313,11 @@
         rows, same, short = [], (), False
         if not self.begun:
             self.begun = True
-            rows += [((i.AT_HOST, None), 0, 0, FOREVER)] if self.hosts is not None else []
+            rows += [((interface.PER_HOST, None), 0, 0, FOREVER)] if self.hosts is not None else []
             same = tuple(
-                ((i.FIRST, profile), (i.FIRST, n)) for n, limit in self.firsts for profile in limit.profiles
+                ((interface.FIRST_ATTEMPT, profile), (interface.FIRST_ATTEMPT, n))
+                for n, limit in self.firsts
+                for profile in limit.profiles
             )
         if self.hosts is not None:
             lent, until = self.holder.parts, self.holder.until
@@ -321,7 +325,7 @@
             for host in {**now_lent, **self.told_hosts}:
                 row = (self.mine(now, host), now_lent.get(host, 0), until if host in now_lent else 0)
                 if self.told_hosts.get(host) != row:
-                    rows.append(((i.AT_HOST, host), *row))
+                    rows.append(((interface.PER_HOST, host), *row))
                 if any(row[:2]) or host in self.own:
                     self.told_hosts[host] = row
                 else:
@@ -338,8 +342,8 @@
         later = int(SPREAD * (1 + 2 * self.chance.random()) / 3) if short else 0
         if rows or same or bool(later) != bool(self.proxy.allowed.later):
             # at once, not through a queue: what is given up must not be used once the keeper is told
-            self.proxy.allowed.tell(i.Allowed(tuple(rows), same, later))
-            self.wake(i.Allowed((), (), later))
+            self.proxy.allowed.tell(interface.LimitsUpdated(tuple(rows), same, later))
+            self.wake(interface.LimitsUpdated((), (), later))
 
     # ---- messages
 
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from ..policy import interface as i
+from ..policy import interface
 from .evidence import WINDOW, Seen, Word, plain
 from .evidence import read as read_word
 from .facts import Table
@@ -139,9 +139,9 @@
     return {name: rank for rank, name in enumerate(order)}
 
 
-def subject(line: i.Host) -> str:
+def subject(line: interface.HostEntry) -> str:
     """A host's process, by the number of its id and its start: a word on the life before is none on this."""
-    return f"{line.hash:x}.{line.started or 0}"
+    return f"{line.hash:x}.{line.started_at or 0}"
 
 
 class Verdicts:
@@ -168,7 +168,7 @@
     # ---- between the decisions and whoever drives them
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
-        if isinstance(event, i.HopEnded):
+        if isinstance(event, interface.AttemptEnded):
             self.seen.ended(now, event)
             if self.trial is not None and self.trial[:2] == (event.tx, event.host):
                 self.tried(now, event.outcome)
@@ -177,7 +177,7 @@
             host, round_ = self.trying
             self.trying = None
             for effect in effects:
-                if isinstance(effect, i.SendHop) and effect.host == host:
+                if isinstance(effect, interface.SendAttempt) and effect.host == host:
                     self.begins(now, effect.tx, host, round_)
         return effects
 
@@ -197,10 +197,10 @@
 
     def tried(self, now: int, outcome: str) -> None:
         before = self.trial[4]
-        if outcome in (i.COMMITTED, i.DECLINED):
+        if outcome in (interface.COMMITTED, interface.DECLINED):
             self.tell_trial(now, GOOD, before + 1)
         else:
-            self.tell_trial(now, VOID if outcome in (i.CANCELLED, i.UNSENT) else BAD, 0)
+            self.tell_trial(now, VOID if outcome in (interface.CANCELLED, interface.UNSENT) else BAD, 0)
         self.trial = None
 
     def tell_trial(self, now: int, phase: int, run: int) -> None:
@@ -236,7 +236,7 @@
 
     # ---- several times a second
 
-    def look(self, now: int, seen: int) -> i.Judged | None:
+    def look(self, now: int, seen: int) -> interface.HostVerdicts | None:
         """What the decisions are to be told, if it is another thing than before or its time runs out."""
         blamed = self.seen.blamed(seen, self.proxy)
         if not blamed and not self.states and not self.table.held:
@@ -400,7 +400,7 @@
 
     # ---- what the decisions are told
 
-    def event(self, now: int, drawn: tuple | None) -> i.Judged | None:
+    def event(self, now: int, drawn: tuple | None) -> interface.HostVerdicts | None:
         hosts = []
         for name, state in self.states.items():
             host = self.numbers.get(name)
@@ -420,7 +420,7 @@
         if not hosts and not opened and drawn is None:
             return None
         hosts += [(host, 0, 0) for host in opened]
-        return i.Judged(tuple(hosts), drawn[0] if drawn else None)
+        return interface.HostVerdicts(tuple(hosts), drawn[0] if drawn else None)
 
     def view(self, now: int) -> list[dict]:
         """For operators: why a host is out, who says so, and how old that is against its life; ages in ms."""
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -20,7 +20,7 @@
 
 from ..fleet.bounds import HOST, NEVER, RATE, Limit
 from ..fleet.limits import Limits
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.measure import Allowance
 
 TICK = 500  # ticks between two looks of a member
@@ -90,7 +90,7 @@
         while len(proxy.line) < run.demand[self.n]:
             number = next(self.numbers)
             proxy.txs[number] = SimpleNamespace(
-                id=number, key=number, tried=[], state="waiting", grant=(i.FIRST, 0)
+                id=number, key=number, tried=[], state="waiting", grant=(interface.FIRST_ATTEMPT, 0)
             )
             proxy.line.append((False, now, number))
         self.limits.tick(now)
@@ -104,12 +104,12 @@
         for server in proxy.ready:
             while (
                 proxy.line
-                and proxy.allowed.left((i.AT_HOST, server.id), now) > len(server.out)
-                and (proxy.allowed.left((i.FIRST, 0), now) >= 1)
+                and proxy.allowed.left((interface.PER_HOST, server.id), now) > len(server.out)
+                and (proxy.allowed.left((interface.FIRST_ATTEMPT, 0), now) >= 1)
             ):
                 number = proxy.line.pop(0)[2]
                 del proxy.txs[number]
-                proxy.allowed.use((i.FIRST, 0))
+                proxy.allowed.use((interface.FIRST_ATTEMPT, 0))
                 lasts = int(HARD_LIMIT / run.rates[self.n] * run.chance.uniform(0.05, 0.97))
                 server.out[number] = proxy.flying[number] = server, now, now
                 run.began(server.id)
@@ -121,7 +121,9 @@
         del server.out[number], self.proxy.flying[number]
         if self.run.members[self.n] is self and self.n not in self.run.stopped:
             now = self.run.clock(self.n)
-            self.limits.handle(now, i.HopEnded(number, 0, server.id, i.COMMITTED, 1, True))
+            self.limits.handle(
+                now, interface.AttemptEnded(number, 0, server.id, interface.COMMITTED, 1, True)
+            )
             self.go(now)
 
 
--- a/basalthook/policy/decide.py
+++ b/basalthook/policy/decide.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect, insort
 
-from . import interface as i
+from . import interface
 from .hosts import TRIAL, Hosts
 from .records import Server, Tx
 
@@ -46,9 +46,9 @@
         self.tell(event.tx, "room")
 
     def on_timer(self, event):
-        if event.mark > 1:
-            self.tell(event.mark - 2, "late")
-        elif event.mark:
+        if event.timer_id > 1:
+            self.tell(event.timer_id - 2, "late")
+        elif event.timer_id:
             self.fill()
 
     def tell(self, tx, given):
@@ -57,24 +57,24 @@
 
     def on_ended(self, event):
         tx = self.txs.get(event.tx)
-        if tx is None or event.hop not in tx.out:
+        if tx is None or event.attempt not in tx.out:
             return
-        server, sent_at = tx.out.pop(event.hop)
-        del server.out[tx.id, event.hop], self.flying[tx.id, event.hop]
+        server, sent_at = tx.out.pop(event.attempt)
+        del server.out[tx.id, event.attempt], self.flying[tx.id, event.attempt]
         at_fault = self.judge(server, sent_at, tx, event)
         if at_fault:
             tx.refusal = "it fails at several endpoints"
-        self.step(tx, "won" if event.closed else "at fault" if at_fault else "fell")
+        self.step(tx, "won" if event.final else "at fault" if at_fault else "fell")
         self.fill()
 
     def on_listed(self, event):
-        named = {line.host for line in event.hosts}
+        named = {line.host_id for line in event.hosts}
         for server in self.servers.values():
             if server.doubted or event.complete and server.id not in named:
                 self.left_out(server)
         for line in event.hosts:
-            server = self.servers.get(line.host) or self.servers.setdefault(
-                line.host, Server(line, self.terms.fall_time)
+            server = self.servers.get(line.host_id) or self.servers.setdefault(
+                line.host_id, Server(line, self.terms.overload_time)
             )
             if line.ready or line.draining:  # not by a line that it is gone: its start may be unsaid
                 self.listed(server, line)
@@ -119,7 +119,7 @@
         """What keeps it from any further attempt, in a word or two for the log; nothing: it may have one."""
         if self.now >= tx.hard_limit:
             return "deadline"
-        if len(tx.tried) >= self.terms.max_hops:
+        if len(tx.tried) >= self.terms.max_attempts:
             return "attempts used up"
         if not self.goes_on(tx):
             return "it may have run"
@@ -130,7 +130,7 @@
     def line_up(self, tx):
         """First hops, then the shortest patience: a short goal is lost behind long ones that could wait."""
         insort(self.line, (bool(tx.tried), tx.give_up, tx.id))
-        self.effects.append(i.SetTimer(tx.give_up - self.now, tx.id + 2))
+        self.effects.append(interface.SetTimer(tx.give_up - self.now, tx.id + 2))
 
     def last_chance(self, tx):
         return "room" if self.now >= tx.give_up else None
@@ -146,19 +146,21 @@
                 self.step(tx, "room")
 
     def settle(self, tx):
-        if self.terms.cancelling:
-            self.effects += [i.CancelHop(tx.id, hop) for hop in tx.out]
+        if self.terms.can_cancel:
+            self.effects += [interface.CancelAttempt(tx.id, hop) for hop in tx.out]
 
     def answer(self, tx):
         """The gate that every answer of ours passes: an early rollback only where a retry is harmless."""
         harmless = (
             tx.ran is None
-            or tx.profile.kind == i.IDEMPOTENT
-            or (tx.profile.group == i.EVERYWHERE and self.repeatable(tx))
+            or tx.profile.kind == interface.IDEMPOTENT
+            or (tx.profile.group == interface.EVERYWHERE and self.repeatable(tx))
         )
-        come_back = min(self.terms.come_back_max, int(tx.come_back * (0.75 + self.chance.random() / 2)))
+        come_back = min(self.terms.max_retry_after, int(tx.come_back * (0.75 + self.chance.random() / 2)))
         self.effects.append(
-            i.RollBack(tx.id, come_back, tx.refusal) if harmless else i.Abandon(tx.id, tx.refusal)
+            interface.RollBack(tx.id, come_back, tx.refusal)
+            if harmless
+            else interface.Abandon(tx.id, tx.refusal)
         )
 
     def send(self, tx, server):
@@ -176,7 +178,7 @@
         limit = tx.hard_limit - now
         if server.id == self.trying:
             limit, self.trying = (tx.goal - now) // TRIAL, None
-        self.effects.append(i.SendHop(tx.id, server.id, limit))
+        self.effects.append(interface.SendAttempt(tx.id, server.id, limit))
         return True
 
     def on_judged(self, event):
@@ -185,16 +187,16 @@
         for host, shut, whole in event.hosts:
             if host in self.servers:
                 self.servers[host].shut, self.servers[host].whole = shut, whole
-                self.effects.append(i.SetTimer(max(0, shut - self.now), 1))
+                self.effects.append(interface.SetTimer(max(0, shut - self.now), 1))
 
     EVENTS = {
-        i.HostsListed: on_listed,
-        i.TxArrived: on_arrived,
-        i.HopEnded: on_ended,
-        i.Allowed: lambda self, event: (self.allowed.tell(event), self.fill()),
-        i.Judged: on_judged,
-        i.Shared: lambda self, event: vars(self).update(event._asdict()),
-        i.StreamBegan: lambda self, event: self.tell(event.tx, "began"),
-        i.TimerDue: on_timer,
-        i.TxGone: lambda self, event: self.tell(event.tx, "gone"),
+        interface.HostListReceived: on_listed,
+        interface.TxArrived: on_arrived,
+        interface.AttemptEnded: on_ended,
+        interface.LimitsUpdated: lambda self, event: (self.allowed.tell(event), self.fill()),
+        interface.HostVerdicts: on_judged,
+        interface.ProcessCount: lambda self, event: vars(self).update(event._asdict()),
+        interface.StreamStarted: lambda self, event: self.tell(event.tx, "began"),
+        interface.TimerDue: on_timer,
+        interface.ClientDisconnected: lambda self, event: self.tell(event.tx, "gone"),
     }
--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from . import interface as i
+from . import interface
 from .measure import Allowance, Drag, Latency, Rendezvous, Spread, Window
 from .rules import Rules
 
@@ -22,18 +22,21 @@
 
 # outcome -> what it does to the host, and whether the transaction may have run
 SORTED = {
-    i.COMMITTED: ("sound", True),
-    i.ERROR: ("erred", True),
-    i.TIMED_OUT: ("timed_out", True),
-    i.RESET: ("erred", True),
-    i.CANCELLED: ("weigh", True),
-    i.REFUSED: ("back_off", False),
-    i.UNREACHABLE: ("ban", False),
-    i.UNSENT: (None, False),
-    i.DECLINED: (None, True),
-    i.DROPPED: ("erred", False),
+    interface.COMMITTED: ("sound", True),
+    interface.ERROR: ("erred", True),
+    interface.TIMED_OUT: ("timed_out", True),
+    interface.RESET: ("erred", True),
+    interface.CANCELLED: ("weigh", True),
+    interface.REFUSED: ("back_off", False),
+    interface.UNREACHABLE: ("ban", False),
+    interface.UNSENT: (None, False),
+    interface.DECLINED: (None, True),
+    interface.DROPPED: ("erred", False),
 }
-SPOKEN, KEYED_FAILURES = {i.COMMITTED, i.ERROR, i.REFUSED, i.DECLINED}, {i.ERROR, i.TIMED_OUT, i.RESET}
+SPOKEN, KEYED_FAILURES = (
+    {interface.COMMITTED, interface.ERROR, interface.REFUSED, interface.DECLINED},
+    {interface.ERROR, interface.TIMED_OUT, interface.RESET},
+)
 
 
 class Hosts(Rules):
@@ -43,7 +46,7 @@
         self.line, self.chosen = [], None  # (tried, give up, tx): emptied by answers, time; the next's host
         self.last_commit = now
         self.flying = {}  # hops out: (tx, hop) -> server, sent at, late after; emptied as they end
-        self.sent = Window(agreement.fall_time)  # our hops
+        self.sent = Window(agreement.overload_time)  # our hops
         self.rankings = {}  # key -> first servers; bounded, cleared by the list, a ban or a step
         self.latency = [Latency(p.service_goal, p.service_goal / UNHURRIED) for p in agreement.profiles]
         self.failing, self.trying = Spread(COOLDOWN, KEPT), None  # keys, hosts; which one to try
@@ -89,7 +92,9 @@
         if self.now < server.whole and self.judged(server):
             return True
         if server.throttles or not server.proven:  # back from a ban or rest: one hop at a time, and
-            return bool(server.out) or tx.profile.kind == i.NON_IDEMPOTENT  # only what may be repeated
+            return (
+                bool(server.out) or tx.profile.kind == interface.NON_IDEMPOTENT
+            )  # only what may be repeated
         if not server.out:
             return False  # else guards against hosts that went silent or stand still
         _, sent_at, late_after = next(iter(server.out.values()))  # by its own measure, not by this one's
@@ -103,7 +108,7 @@
     def tried(self, tx):
         """The fleet's trial of a host that it keeps away: of what can still go on elsewhere in time."""
         server = self.servers.get(self.trying)
-        if server is None or tx.profile.kind != i.IDEMPOTENT or tx.tried or not self.goes_on(tx):
+        if server is None or tx.profile.kind != interface.IDEMPOTENT or tx.tried or not self.goes_on(tx):
             return None
         free = not server.out and not self.away(server, "ban", "rest") and self.admits(tx, server)
         return server if free and TRIAL * (tx.goal - self.now) > 2 * tx.profile.service_goal else None
@@ -149,7 +154,7 @@
 
     def quiet_out(self, sent):
         """Hops out at this rate in quiet times, those that lie here answered but unread included."""
-        span = min(self.terms.fall_time, max(self.now - self.born, self.quiet_mix))
+        span = min(self.terms.overload_time, max(self.now - self.born, self.quiet_mix))
         return sent.count(self.now) / span * (self.quiet_mix + self.unread)
 
     def ranking(self, key):
@@ -175,13 +180,13 @@
         self.home = near + self.elsewhere(all(self.away(s, "ban") for s in near)) if near else self.ready
         self.weight = sum(s.size * self.warmth(s) for s in self.ready)
         # a key's warm hosts in all zones are worth more than a crossing while the list tells of busy ones
-        lean = 0 if self.terms.live_weights and self.cores > SPARE else 100 * self.terms.cross_price
+        lean = 0 if self.terms.live_weights and self.cores > SPARE else 100 * self.terms.cross_zone_price
         self.rendezvous = Rendezvous(
             self.home,
             [s.line.hash for s in self.home],
             [s.size * self.warmth(s) * (1.0 + lean * (s.line.zone == self.terms.zone)) for s in self.home],
         )
-        steps = [self.now + self.terms.cold_time // COLD_STEPS for s in self.ready if s.fresh_from]
+        steps = [self.now + self.terms.slow_start_time // COLD_STEPS for s in self.ready if s.fresh_from]
         self.ranked_until = min([float("inf"), *steps] + [s.away["ban"] for s in near if self.away(s, "ban")])
 
     def elsewhere(self, needed):
@@ -214,11 +219,11 @@
 
     def keep_away(self, server, reason, wait):
         server.away[reason] = self.now + wait
-        self.effects.append(i.SetTimer(wait, 1))
+        self.effects.append(interface.SetTimer(wait, 1))
 
     def listed(self, server, line):
         """A live weight only says too little; in steps, against an untrue tenfold."""
-        if line.started is not None and line.started != server.line.started:
+        if line.started_at is not None and line.started_at != server.line.started_at:
             server.renew(line)
         server.line, server.doubted = line, False
         server.size = (
@@ -229,7 +234,7 @@
 
     def left_out(self, server):
         """Gone, by the list. Where only draining binds that is a doubt: its next fault proves it."""
-        if self.terms.only_draining_binds and server.line.ready and self.now < server.heard + LEFT_OUT:
+        if self.terms.unlisted_hosts_usable and server.line.ready and self.now < server.heard + LEFT_OUT:
             server.proven, server.doubted = server.proven and server.doubted, True
         else:
             server.line = server.line._replace(ready=False)
@@ -237,7 +242,7 @@
     def judge(self, server, sent_at, tx, event):
         """What the outcome does to the host; returns whether the transaction itself is at fault."""
         effect, ran = SORTED[event.outcome]
-        self.unread += (event.waited - self.unread) * 0.02
+        self.unread += (event.unread_for - self.unread) * 0.02
         if event.outcome in SPOKEN:
             server.heard, server.passed = self.now, max(server.passed, sent_at)
             server.passed_by[tx.kind] = max(server.passed_by.get(tx.kind, 0), sent_at)
@@ -246,7 +251,7 @@
             self.reset_rankings()
         if ran and not tx.ran:
             tx.ran = sent_at, server.line
-        at_fault = event.outcome == i.TIMED_OUT and self.drags(tx)
+        at_fault = event.outcome == interface.TIMED_OUT and self.drags(tx)
         if tx.key is not None and event.outcome in KEYED_FAILURES:  # of one key at several hosts: its own
             at_fault |= len(self.failing.add(tx.key, server.id, self.now)) >= SPREAD
         if effect and not at_fault:
@@ -266,7 +271,9 @@
         # by time, where answers are few; of commits only: what silent hosts owe is no crowd at the others
         self.weigh(server, tx, event, strain)
         if not server.throttles or 2 * sum(bool(s.throttles) for s in self.ready) > len(self.ready):
-            self.strain += (strain - self.strain) * max(0.02, min(0.2, LEARN * since / self.terms.fall_time))
+            self.strain += (strain - self.strain) * max(
+                0.02, min(0.2, LEARN * since / self.terms.overload_time)
+            )
         server.committed.add(self.now)
 
     def slowness(self, server, tx, event):
@@ -275,7 +282,7 @@
         return 1.0 if self.drags(tx) else min(10.0, slower)
 
     def weigh(self, server, tx, event, strain=None):
-        if event.outcome != i.COMMITTED and self.now - event.elapsed < server.passed:
+        if event.outcome != interface.COMMITTED and self.now - event.elapsed < server.passed:
             return  # guards against a crowd seen where single hops stay unanswered, later ones not
         strain = strain or max(server.strain, self.slowness(server, tx, event))
         often = max(1, server.sent.count(self.now))  # guards against jams that many proxies meet seldom
@@ -283,7 +290,7 @@
         # guards against hosts that turn slower when crowded until they rest; not all, where all are slow
         others = min(OTHERS, max(1.0, self.strain)) if self.terms.live_weights else 1.0
         if server.strain > (AT_HOME if self.rooted and self.strain > FROM else CROWDED * others):
-            self.back_off(server, tx, event, max(BACKOFF, self.terms.fall_time // often), COOLDOWN)
+            self.back_off(server, tx, event, max(BACKOFF, self.terms.overload_time // often), COOLDOWN)
         else:
             server.throttles = 0
 
@@ -300,16 +307,18 @@
 
     def erred(self, server, tx, event):
         """Quick errors look like an idle host and draw more: those of several keys are the host's fault."""
-        self.effects += [i.MetFault(server.id)] * self.terms.peers
+        self.effects += [interface.ReportHostFault(server.id)] * self.terms.peer_reports
         if tx.key is None or tx.key != server.erred_key:
             server.erring, server.erred_key = server.erring * 0.9 + 0.1, tx.key
-        server.proven = server.proven and event.outcome == i.ERROR  # a reset: one repeatable looks
+        server.proven = server.proven and event.outcome == interface.ERROR  # a reset: one repeatable looks
         median = sorted(s.erring for s in self.servers.values())[(len(self.servers) - 1) // 2]
         if server.erring > ERRING + 2 * median:  # beyond what most share
             self.ban(server, tx, event)
 
     def ban(self, server, tx, event):
-        lost = event.outcome == i.UNREACHABLE  # guards against ten seconds without a host for one pause
+        lost = (
+            event.outcome == interface.UNREACHABLE
+        )  # guards against ten seconds without a host for one pause
         self.keep_away(server, "ban", min(COOLDOWN, FIRST_BAN * 2**server.failures) if lost else COOLDOWN)
         server.failures = min(server.failures + lost, 8)
         server.erring, server.timeouts, server.proven = 0, {}, False
--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 from math import exp, log
 
-from . import interface as i
+from . import interface
 
 LANE = (1 << 64) - 1
 
@@ -143,9 +143,9 @@
         self.same: dict[tuple, tuple] = {}
         self.later = 0  # a come-back time for those whom limits refuse; 0: none yet
 
-    def tell(self, event: i.Allowed) -> None:
-        self.later = event.come_back
-        self.same.update(event.same)
+    def tell(self, event: interface.LimitsUpdated) -> None:
+        self.later = event.retry_after
+        self.same.update(event.aliases)
         for key, *row in event.rows:
             self.rows[key], self.used[key] = row, 0
 
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -55,7 +55,7 @@
         self.told, self.log, self.early, self.ending = told, log, early, asyncio.Event()
         self.handover: Handover | None = None
         self.clock = clock = Clock()
-        roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
+        roster = Roster(told.agreed.unlisted_hosts_usable, Starts(clock.now))
         self.timers = timers = Timers(clock.now, TICKS)
         self.reload = Reload(reread, self.take, timers, log.say)
         buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
@@ -118,7 +118,7 @@
                 timers,
                 clock,
                 names,
-                told.agreed.fall_time,
+                told.agreed.overload_time,
                 Here(self.accept, self.share),
                 log.say,
             )
--- a/basalthook/recovery/knowledge.py
+++ b/basalthook/recovery/knowledge.py
@@ -5,7 +5,7 @@
 for each `fade` that has passed since. A host that has started anew is known by its list line alone.
 """
 
-from ..policy.interface import HostsListed
+from ..policy.interface import HostListReceived
 from ..policy.measure import Window
 
 WHOLE = ("quiet_mix", "usual_rate", "cores", "unread")  # as they were
@@ -38,7 +38,7 @@
     return {
         **{name: getattr(server, name) for name in OF_SERVER},
         **{name: list(getattr(server, name).times) for name in WINDOWS},
-        "started": server.line.started,
+        "started": server.line.started_at,
         "fresh_from": server.fresh_from,
         "strain": server.strain,
         "away": {reason: until for reason, until in server.away.items() if isinstance(reason, str)},
@@ -65,10 +65,10 @@
     fitted = 0
     for host, plain in known["hosts"].items():
         server = proxy.servers.get(numbers.get(host, -1))
-        if server is not None and server.line.started == plain["started"]:
+        if server is not None and server.line.started_at == plain["started"]:
             server_taken_over(server, plain, profiles, now, left)
             fitted += 1
-    proxy.handle(now, HostsListed((), False, False))  # ranks by what it now knows
+    proxy.handle(now, HostListReceived((), False, False))  # ranks by what it now knows
     return fitted
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,15 @@
 ROOT = Path(__file__).parent.parent
 DECIDE = "basalthook/policy/decide.py"
 NAMED = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-EFFECTS = {"SendHop", "RollBack", "Abandon", "CancelHop", "WatchList", "TellNews", "SetTimer"}
+EFFECTS = {
+    "SendAttempt",
+    "RollBack",
+    "Abandon",
+    "CancelAttempt",
+    "RequestHostList",
+    "SendPeerReport",
+    "SetTimer",
+}
 
 
 def imported(path):
@@ -58,7 +66,7 @@
         for source in (
             "LIMIT = 3",
             "A, B = 1, 2.5",
-            "def f(p):\n return p.terms.fall_time",
+            "def f(p):\n return p.terms.overload_time",
             "def f(s):\n s.effects.append(i.SetTimer(1, 1))",
         ):
             self.assertTrue(list(decides(source)), source)
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -83,7 +83,7 @@
 
     def test_terms_are_rounded_to_the_safe_side(self):
         terms = self.desk.seats["proxy_0"].proxy.terms
-        self.assertEqual((terms.profiles[0].service_goal, terms.cold_time), (2_000, 83_001))
+        self.assertEqual((terms.profiles[0].service_goal, terms.slow_start_time), (2_000, 83_001))
 
     def test_news_of_a_host_not_listed_or_not_ours_is_passed_over(self):
         for payload in ({}, {"payload": "68692037"}, {"payload": "02" + "00" * 6}, {"payload": "x"}):
