--- a/basalthook/fleet/counting.py
+++ b/basalthook/fleet/counting.py
@@ -6,7 +6,7 @@
 """
 
 from ..policy import interface
-from ..policy.measure import Spread
+from ..policy.measure import RecentPlaces
 
 NEWS, KEPT_AWAY, TOLD_MOST = 10_000, 33_000, 0.3  # ticks that news counts, that a host is kept away; of all
 WITNESSES, SHARE = 3, 0.03  # so many, or so much of all proxies, must have met a fault
@@ -14,11 +14,12 @@
 
 
 class Counting:
-    """`terms.peers` false: nothing is told and nothing believed."""
+    """`terms.peer_reports` false: nothing is told and nothing believed."""
 
     def __init__(self, proxy) -> None:
-        self.proxy, self.terms = proxy, proxy.terms
-        self.faults, self.witnessed = Spread(NEWS, KEPT), {}  # host -> who; host -> when we told; bounded
+        self.proxy, self.terms = proxy, proxy.settings
+        # host -> who; host -> when we told; bounded
+        self.faults, self.witnessed = RecentPlaces(NEWS, KEPT), {}
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
         """As the decisions' own `handle`, with the news among its events and effects."""
@@ -38,14 +39,14 @@
         if len(self.witnessed) >= KEPT:
             self.witnessed.clear()
         self.witnessed[host] = now
-        counts = self.proxy.servers[host].line.hash % self.terms.proxies
+        counts = self.proxy.hosts[host].entry.hash % self.terms.proxies
         if counts == self.terms.position:
             return self.witness(now, host, counts)
         return [interface.SendPeerReport(counts, host, interface.FAULT_SEEN)]
 
     def came(self, now: int, event: interface.PeerReportReceived) -> list:
         """Only the one that counts is believed, and nothing is passed on."""
-        server, sender, mine = self.proxy.servers.get(event.host), event.sender, self.terms.position
+        server, sender, mine = self.proxy.hosts.get(event.host), event.sender, self.terms.position
         if (
             not self.terms.peer_reports
             or not server
@@ -53,7 +54,7 @@
             or not 0 <= sender < self.terms.proxies
         ):
             return []
-        counts = server.line.hash % self.terms.proxies
+        counts = server.entry.hash % self.terms.proxies
         if event.report == interface.FAULT_SEEN and counts == mine:
             return self.witness(now, event.host, sender)
         return (
@@ -72,6 +73,6 @@
     def shut(self, now: int, host: int) -> list:
         """Others' word expires, never holds for more than a part of all."""
         ready = self.proxy.ready
-        if sum(now < server.shut for server in ready) >= TOLD_MOST * len(ready):
+        if sum(now < server.verdict_until for server in ready) >= TOLD_MOST * len(ready):
             return []
         return self.proxy.handle(now, interface.HostVerdicts(((host, now + KEPT_AWAY, now + KEPT_AWAY),)))
--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -98,14 +98,14 @@
         """Hosts of which this proxy has a fault to tell."""
         late = {
             server.id
-            for server, sent_at, late_after in proxy.flying.values()
-            if seen - sent_at >= late_after and server.heard <= sent_at
+            for server, sent_at, late_after in proxy.attempts.values()
+            if seen - sent_at >= late_after and server.last_answer <= sent_at
         }
         return late | self.faulty
 
     def word(self, now: int, seen: int, proxy, host: int) -> Word:
         """`seen`: up to then all that came in is told; a silence since may be that of this process."""
-        server, outcomes = proxy.servers[host], self.outcomes.get(host)
+        server, outcomes = proxy.hosts[host], self.outcomes.get(host)
         while outcomes and outcomes[0][0] <= now - WINDOW:
             outcomes.popleft()
         if not outcomes:
@@ -117,7 +117,7 @@
             self.faulty.discard(host)
         late = [
             sent_at
-            for _, sent_at, late_after in server.out.values()
+            for _, sent_at, late_after in server.attempts.values()
             if seen - sent_at >= late_after and sent_at >= self.since.get(host, 0)
         ]
         return Word(
@@ -128,7 +128,7 @@
             counts[LOST],
             counts[ERRED],
             counts[ANSWERED],
-            server.heard,
+            server.last_answer,
             now,
         )
 
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -173,7 +173,7 @@
             if self.trial is not None and self.trial[:2] == (event.tx, event.host):
                 self.tried(now, event.outcome)
         effects = self.proxy.handle(now, event, seen)
-        if self.trying is not None and self.proxy.trying is None:
+        if self.trying is not None and self.proxy.trial_host is None:
             host, round_ = self.trying
             self.trying = None
             for effect in effects:
@@ -182,7 +182,7 @@
         return effects
 
     def begins(self, now: int, tx: int, host: int, round_: int) -> None:
-        name = subject(self.proxy.servers[host].line)
+        name = subject(self.proxy.hosts[host].entry)
         state = self.states.get(name)
         if state is None:
             return
@@ -215,8 +215,8 @@
         """Words by host, each with its age, without those of proxies whose own link is bad."""
         if self.listed is not self.proxy.ready:
             self.listed = self.proxy.ready
-            self.numbers = {subject(server.line): server.id for server in self.listed}
-            self.seen.forget(self.proxy.servers)
+            self.numbers = {subject(server.entry): server.id for server in self.listed}
+            self.seen.forget(self.proxy.hosts)
         words = {}
         for name in self.table.subjects(HOST):
             if name in self.numbers:
@@ -260,8 +260,8 @@
     def tell(self, now: int, seen: int, blamed: set[int]) -> None:
         """This proxy's words: on hosts that it blames, or has blamed and may clear; on those that several
         blame, how they were to it; on those that are out, only that one was heard since."""
-        servers = self.proxy.servers
-        names = {subject(servers[host].line): host for host in blamed if host in servers}
+        servers = self.proxy.hosts
+        names = {subject(servers[host].entry): host for host in blamed if host in servers}
         asked = {name for name, words in self.words.items() if sum(w.blames for w in words) >= QUORUM}
         asked |= {name for name, word in self.told.items() if word.blames}
         out = {name for name, state in self.states.items() if state.state == OUT}
@@ -367,7 +367,7 @@
     def too_many(self) -> bool:
         """Out and fresh ones together: what some are kept from must not push over those that bear little."""
         out = sum(state.state == OUT for name, state in self.states.items() if name in self.numbers)
-        fresh = sum(server.fresh_from is not None for server in self.listed)
+        fresh = sum(server.cold_since is not None for server in self.listed)
         return out + fresh >= int(MOST_OUT * len(self.listed))
 
     # ---- trials
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -82,7 +82,7 @@
         mind = Counting(proxy)
         if self.talking is not None:
             mind = self.talking.start(n, proxy, agreed.zone, first)
-        self.minds[n] = Asking(Following(agreed, proxy.chance), mind)
+        self.minds[n] = Asking(Following(agreed, proxy.rng), mind)
         self.carry_out(n, self.minds[n].begin())
         listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
         self.tell(n, interface.HostListReceived(tuple(map(self.line, listed)), True, False))
--- a/basalthook/policy/interface.py
+++ b/basalthook/policy/interface.py
@@ -56,7 +56,7 @@
     max_retry_after: int  # longest come-back time that clients are told; 0: none
     live_weights: bool = False  # listed weights are size / (1 + transactions held a core), and late
     peer_reports: bool = False  # proxies may tell one another news, which may be lost
-    unlisted_hosts_usable: bool = False  # hosts gone or left out, but not seen draining, may be sent to
+    use_unlisted: bool = False  # hosts gone or left out, but not seen draining, may be sent to
     drain_grace: int = 0  # after it was told that a host drains nothing goes there
 
 
@@ -138,8 +138,8 @@
     retry_after: int = 0  # for those refused for want of them; 0: more may come within moments
 
 
-# Keys of what a limit may bind: (PER_HOST, host), (FIRST_ATTEMPT, profile), (FURTHER_ATTEMPT, None). None in place of a number
-# stands for all that are not named.
+# Keys of limits: (PER_HOST, host), (FIRST_ATTEMPT, profile), (FURTHER_ATTEMPT, None). None in place of a
+# number stands for all that are not named.
 PER_HOST, FIRST_ATTEMPT, FURTHER_ATTEMPT = "at host", "first", "further"
 
 
--- a/basalthook/recovery/following.py
+++ b/basalthook/recovery/following.py
@@ -26,8 +26,8 @@
       where the list is pushed, and at first where an open watch broke, as news may have been lost with it:
         grace / 8, then / 4 and / 2; where discovery turns callers away, or for the latter, `FLEET_PACE` for
         each proxy if that is longer, `RETRY_MOST` at most
-      else, and after these: list_poll_interval / 4, `RETRY_MOST` at most. However long discovery has been away,
-      its news counts at a fixed time after it is back
+      else, and after these: list_poll_interval / 4, `RETRY_MOST` at most. However long discovery has been
+      away, its news counts at a fixed time after it is back
 """
 
 from random import Random
@@ -38,7 +38,7 @@
 WAIT_MOST = 600_000  # discovery waits no longer: a longer one would be taken for silent too late
 FIRST_MOST = 35_000  # until the first call of a new process: a second one must fit in 6 s
 WAIT_AFTER = 20_000  # the first wait of a process, or after a failure or silence; each answer doubles it, ...
-PARTS_OF_ASKING = 4  # of list_poll_interval, for that first wait: a change may count so long after it
+PARTS_OF_ASKING = 4  # of list_poll_interval, for that first wait: a change counts so long after it was made
 WAITS_GROW = 5  # ... so often at most: news of the call after a broken one counts sooner
 PARTS = 5  # of what is left until the grace is over; calls beside begin after 1, 2 and 4 of them
 PUSHED_PARTS = 4  # of the grace; a call for pushed news that is there already gets another after one
--- a/basalthook/routing/owner.py
+++ b/basalthook/routing/owner.py
@@ -200,7 +200,7 @@
 
     def listed(self, item: Listed) -> None:
         self.decide(self.roster.told(item.listing, item.answered))
-        self.roster.let_go(self.proxy.servers)
+        self.roster.let_go(self.proxy.hosts)
         if changes := self.roster.changes:
             self.say(
                 "endpoints",
@@ -250,7 +250,7 @@
             return interface.ENDPOINT_LEAVING
         if order.left():
             return interface.CLIENT_GONE
-        return self.proxy.refusal(self.clock.now(), order.number, host)
+        return self.proxy.start_refusal(self.clock.now(), order.number, host)
 
     def roll_back(self, effect: interface.RollBack) -> None:
         self.answer(effect.tx, Answer("rolled back", None, effect.retry_after, reason=effect.reason))
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.policy_settings(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
         self.profiles = terms.profile_indices(setup)
         self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
         self.addresses: list[str] = []
--- a/basalthook/terms.py
+++ b/basalthook/terms.py
@@ -88,7 +88,7 @@
         max_retry_after=allowed.get("max_retry_after_ns", 0) // TICK_NS if allowed.get("retry_after") else 0,
         live_weights=choice(setup, "weights", ("nominal", "off", "rough", "live"), "nominal") == "live",
         peer_reports=boolean(allowed, "peers"),
-        unlisted_hosts_usable=boolean(rules, "only_draining_binds", "rules"),
+        use_unlisted=boolean(rules, "only_draining_binds", "rules"),
         drain_grace=rules.get("drain_grace_ns", 0) // TICK_NS,
     )
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -68,7 +68,7 @@
     for tx in range(transactions):
         now += 16 if waiting else 4
         if waiting:
-            proxy.strain = 2.0
+            proxy.slowdown = 2.0
         handle(interface.TxArrived(tx, tx % 2, tx * 31 % 2000, 20_000))
         while out and out[0][0] <= now:
             _, done, hop, host, sent = out.pop(0)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -54,7 +54,7 @@
         self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
         self.hosts = {h.line.host_id: h for h in hosts}
         self.proxy = Proxy(interface.PolicySettings(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
         self.tell(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
@@ -109,7 +109,7 @@
 
     def crowd(self, strain):
         self.wait(30_000)
-        self.proxy.strain = strain
+        self.proxy.slowdown = strain
 
     def sends(self):
         return [e.host for e in self.record if isinstance(e, interface.SendAttempt)]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -100,11 +100,11 @@
         for _ in range(2):  # out twice, back once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.owner.proxy.servers.values() if s.line.started_at)
-        self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
+        server = next(s for s in self.service.owner.proxy.hosts.values() if s.entry.started_at)
+        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
         await self.until(lambda: self.service.watch.version == 2)
-        self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
+        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -113,23 +113,23 @@
         stage = Stage([FakeHost(0, outcome=None)])
         stage.arrive(UPLOAD, key=1)
         (tx,) = stage.hosts[0].got
-        self.assertIsNone(stage.proxy.refusal(stage.now, tx, 0))
-        self.assertEqual(stage.proxy.refusal(stage.now + 10**6, tx, 0), interface.OUT_OF_TIME)
-        self.assertEqual(stage.proxy.refusal(stage.now, tx, 7), interface.ENDPOINT_LEAVING)
+        self.assertIsNone(stage.proxy.start_refusal(stage.now, tx, 0))
+        self.assertEqual(stage.proxy.start_refusal(stage.now + 10**6, tx, 0), interface.OUT_OF_TIME)
+        self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 7), interface.ENDPOINT_LEAVING)
         stage.tell(interface.ClientDisconnected(tx))
-        self.assertEqual(stage.proxy.refusal(stage.now, tx, 0), interface.REQUEST_OVER)
+        self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 0), interface.REQUEST_OVER)
 
 
 class SlowStart(unittest.TestCase):
     def test_attempts_whose_connections_come_up_late_count_in_a_cold_endpoints_window_when_they_begin(self):
         cold = FakeHost(0, started=990_000, outcome=None)
         stage = Stage([cold])
-        stage.proxy.usual_rate = 40.0
+        stage.proxy.commit_rate = 40.0
         stage.many(40)
         first = len(cold.got)
         self.assertIn(first, range(3, 40))
         stage.now += 10_000  # of a window of 30,000
-        self.assertEqual({stage.proxy.refusal(stage.now, tx, 0) for tx in cold.got}, {None})
+        self.assertEqual({stage.proxy.start_refusal(stage.now, tx, 0) for tx in cold.got}, {None})
         for tx in list(cold.got):
             stage.end(tx, 0, 0, interface.COMMITTED)
         stage.now += 21_000
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -84,7 +84,8 @@
 
         def own():
             return sum(
-                member.proxy.allowed.left((interface.PER_HOST, 0), run.clock(member.n)) for member in members
+                member.proxy.allowance.remaining((interface.PER_HOST, 0), run.clock(member.n))
+                for member in members
             )
 
         self.assertEqual(own(), 0)
@@ -126,8 +127,8 @@
         self.limits, self.proxy = self.member.limits, self.member.proxy
 
     def out(self, host):
-        server = self.proxy.servers[host]
-        server.out[host] = self.proxy.flying[host] = server, 0, 0
+        server = self.proxy.hosts[host]
+        server.attempts[host] = self.proxy.attempts[host] = server, 0, 0
 
     def test_all_that_is_in_use_is_named_and_an_ask_and_its_answer_fit_a_datagram(self):
         now = self.run.clock(1)
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -67,7 +67,7 @@
             return startup.decode(told, {}, "here").agreed
 
         found = agreed(stays_in=["b"], host_types_open=["m"])
-        self.assertEqual((*found.profiles[0][-2:], found.unlisted_hosts_usable), ({"b"}, {"m"}, True))
+        self.assertEqual((*found.profiles[0][-2:], found.use_unlisted), ({"b"}, {"m"}, True))
         for name, wrong in (("stays_in", "b"), ("stays_in", []), ("stays_in", ["c"]), ("host_types_open", 1)):
             with self.assertRaisesRegex(startup.BadStart, f"^here: settings[.]profiles.+[.]{name}: "):
                 agreed(**{name: wrong})
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -83,7 +83,9 @@
         for n in range(20):
             self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
-        self.assertEqual({s.away.get("ban", 0) for s in self.service.owner.proxy.servers.values()}, {0})
+        self.assertEqual(
+            {s.excluded_until.get("ban", 0) for s in self.service.owner.proxy.hosts.values()}, {0}
+        )
 
     async def test_turned_away_is_harmless_and_so_rolled_back(self):
         caller = await self.play(SocketHost(REFUSED), SocketHost(REFUSED))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -185,7 +185,7 @@
     def test_where_only_draining_binds_a_host_left_out_is_sent_to_until_it_fails(self):
         for draining, complete in ((False, True), (False, False), (True, False)):
             host, other = hosts = fleet(2)
-            stage = Stage(hosts, unlisted_hosts_usable=True)
+            stage = Stage(hosts, use_unlisted=True)
             stage.many(20)
             for line in (host.line._replace(ready=False, draining=draining), host.line._replace(ready=False)):
                 stage.tell(interface.HostListReceived((other.line, line)[: 2 - complete], complete, True))
@@ -216,7 +216,7 @@
         for seed in range(100):
             cold = FakeHost(1, started=990_000)
             stage = Stage([FakeHost(0), cold], seed=seed, proxies=277)
-            stage.proxy.usual_rate = 0.1
+            stage.proxy.commit_rate = 0.1
             stage.arrive(key=5)
             del cold.got[:]
             stage.now += 40_000
@@ -234,7 +234,7 @@
             for n in range(120):
                 stage.elapsed, whose = (7_000, dragging) if n % 2 else (700, {"tenant": 2})
                 stage.arrive(key=n, **whose)
-            self.assertFalse([s for s in stage.proxy.servers.values() if stage.proxy.away(s, "rest")])
+            self.assertFalse([s for s in stage.proxy.hosts.values() if stage.proxy.excluded(s, "rest")])
             stage.turn(None)
             txs = [stage.arrive(**whose) for whose in (dragging, dragging, {"tenant": 2})]
             self.assertEqual(
@@ -303,7 +303,7 @@
             hosts[n % 3].outcome = {0: interface.RESET, 10: interface.ERROR}.get(n % 20, interface.COMMITTED)
             stage.arrive(key=n)
             stage.turn(interface.COMMITTED)
-        self.assertEqual([s.away for s in stage.proxy.servers.values()], [{}] * 3)
+        self.assertEqual([s.excluded_until for s in stage.proxy.hosts.values()], [{}] * 3)
 
     def test_a_host_that_breaks_what_it_takes_is_banned_and_one_that_refuses_at_once(self):
         for outcome, most in ((interface.RESET, 4), (interface.DROPPED, 4), (interface.UNREACHABLE, 3)):
@@ -319,7 +319,7 @@
             stage = Stage(fleet(2), proxies=proxies)
             stage.many(20)
             stage.crowd(2.0)
-            self.assertEqual(stage.proxy.budget(stage.proxy.servers[0]), places)
+            self.assertEqual(stage.proxy.concurrency_limit(stage.proxy.hosts[0]), places)
 
     def test_resets_that_all_hosts_share_leave_them_in_use(self):
         """Any two near each other banned: at one in ten, most hosts were out (wide day, G 0.33)."""
@@ -362,8 +362,8 @@
             )
             if host == 0:
                 stage.end(tx, 1, 1, interface.COMMITTED, 700)
-        self.assertTrue(stage.proxy.servers[0].throttles)
-        self.assertFalse(stage.proxy.servers[1].throttles)
+        self.assertTrue(stage.proxy.hosts[0].throttles)
+        self.assertFalse(stage.proxy.hosts[1].throttles)
 
     def test_one_hop_at_a_silent_host_does_not_stop_a_proxy_of_little_traffic(self):
         """One of 290 proxies: one hop out, at a silent host, had all else refused until its hard limit."""
@@ -372,7 +372,7 @@
         stage.many(2, NON_IDEMPOTENT)
         stage.wait(3_500)
         for strain, sent in ((3.0, 2), (1.3, 3)):  # not so in a crowd, where all hops are late
-            stage.proxy.strain = strain
+            stage.proxy.slowdown = strain
             stage.arrive(key=9)
             self.assertEqual(len(stage.sends()), sent)
 
@@ -380,7 +380,7 @@
         stage = Stage(fleet(2, outcome=None))
         tx = stage.arrive()
         stage.end(tx, 0, stage.sends()[0], interface.TIMED_OUT, 20_000)
-        self.assertEqual(stage.proxy.strain, 1.0)
+        self.assertEqual(stage.proxy.slowdown, 1.0)
 
     def test_a_host_met_seldom_rests_on_one_slow_answer_and_long_and_one_met_often_does_not(self):
         """Forty proxies met a jammed host each four seconds: it took three answers, and a rest was 50 ms."""
@@ -388,9 +388,9 @@
             stage = Stage(fleet(1), elapsed=100, proxies=40)
             stage.many(before)
             stage.turn(None)
-            slow, server = stage.arrive(), stage.proxy.servers[0]
+            slow, server = stage.arrive(), stage.proxy.hosts[0]
             stage.end(slow, 0, 0, interface.COMMITTED, 6_000)
-            self.assertEqual(server.away.get("rest", 0) >= stage.now + 25_000, rests)
+            self.assertEqual(server.excluded_until.get("rest", 0) >= stage.now + 25_000, rests)
 
     def test_the_jam_of_one_host_is_not_the_fleets(self):
         """Six jammed hosts of sixty, and a fifth of all rolled back while the others had room."""
@@ -402,7 +402,7 @@
             jammed = host == stage.sends()[0]
             slow += jammed
             stage.end(tx, 0, host, interface.COMMITTED, 6_000 if jammed else 700)
-            strains.append(stage.proxy.strain)
+            strains.append(stage.proxy.slowdown)
             stage.wait(100_000)
         self.assertGreater(slow, 3)
         self.assertLessEqual(max(strains), 1.0)
@@ -433,7 +433,7 @@
         stage = Stage(fleet(6))
         stage.many(200, key=9)
         homes = set(stage.sends())
-        stage.proxy.strain = 2.0
+        stage.proxy.slowdown = 2.0
         stage.turn(None)
         stage.many(12, key=9)
         self.assertEqual(set(stage.sends()), homes)
@@ -485,7 +485,7 @@
 
     def test_a_fresh_host_first_gets_a_thin_slice_of_the_keys(self):
         stage = Stage(fleet(3) + [FakeHost(3, started=1_000_000)], slow_start_share=0.1)
-        lead = [next(stage.proxy.ranking(key)).id for key in range(300)]
+        lead = [next(stage.proxy.ranked_hosts(key)).id for key in range(300)]
         self.assertLess(0, lead.count(3))
         self.assertLess(lead.count(3), 40)
 
@@ -505,12 +505,12 @@
         for key in range(400):
             stage.arrive(key=key)
             stage.now += 100
-        usual = stage.proxy.usual_rate
+        usual = stage.proxy.commit_rate
         self.assertGreater(usual, 0)
-        stage.proxy.strain = 3.0
+        stage.proxy.slowdown = 3.0
         stage.wait(60_000)
         stage.arrive(key=1)
-        self.assertEqual(stage.proxy.usual_rate, usual)
+        self.assertEqual(stage.proxy.commit_rate, usual)
 
 
 class Shape(unittest.TestCase):
@@ -533,13 +533,13 @@
         stage = self.live(3)
         for weights, sizes in (((40.0, 1.0, 1.0), {8.0, 4.0}), ((0.1, 0.1, 0.1), {8.0, 4.0})):  # untrue
             self.lines(stage, *weights)
-            self.assertEqual({s.size for s in stage.proxy.servers.values()}, sizes)
+            self.assertEqual({s.capacity for s in stage.proxy.hosts.values()}, sizes)
 
     def test_told_to_hold_little_a_host_has_room_for_a_swing_though_answers_are_slow(self):
         """Each of five proxies had its one place at every host of seven cores, and rolled back the rest."""
         for held, taken in ((0.2, 9), (3.0, 3)):
             stage = self.live(3, held, outcome=None)
-            stage.proxy.strain = 2.0
+            stage.proxy.slowdown = 2.0
             stage.many(9)
             self.assertEqual(len(stage.sends()), taken, held)
 
@@ -547,11 +547,11 @@
         """Thirteen of eighteen hosts rested, said to hold next to nothing, and 29 in 100 were rolled back."""
         for live, rests in ((True, False), (False, True)):
             stage = Stage(fleet(2), live_weights=live)
-            server, stage.proxy.strain = stage.proxy.servers[0], 2.0
+            server, stage.proxy.slowdown = stage.proxy.hosts[0], 2.0
             stage.proxy.weigh(
                 server, None, interface.AttemptEnded(0, 0, 0, interface.COMMITTED, 360, True), 8.0
             )
-            self.assertEqual(stage.proxy.away(server, "rest"), rests, server.strain)
+            self.assertEqual(stage.proxy.excluded(server, "rest"), rests, server.slowdown)
 
     def test_where_all_hosts_hold_too_much_some_are_rolled_back_as_they_arrive_and_told_when_to_return(self):
         stage = self.live(3, 9.0, outcome=None)
@@ -570,7 +570,7 @@
             )
             stage.many(30)
             self.assertEqual(bool(told(stage)), peers)  # not allowed: none
-        hosts = {host: stage.proxy.servers[host].line.hash % 10 for host in range(10)}
+        hosts = {host: stage.proxy.hosts[host].entry.hash % 10 for host in range(10)}
         once = {
             host: interface.SendPeerReport(hosts[host], host, interface.FAULT_SEEN)
             for host in {e.host for e in told(stage)}
@@ -591,9 +591,9 @@
     def test_only_the_one_who_counts_is_believed_and_never_for_many_hosts(self):
         for believed in (False, True):
             stage = Stage(fleet(10), proxies=10, peer_reports=True, position=3)
-            for host, server in [(999, None), *stage.proxy.servers.items()]:
+            for host, server in [(999, None), *stage.proxy.hosts.items()]:
                 for sender in range(-1, 12):
-                    if server is None or believed == (sender == server.line.hash % 10):
+                    if server is None or believed == (sender == server.entry.hash % 10):
                         stage.tell(interface.PeerReportReceived(sender, host, interface.FAULT_CONFIRMED))
-            away = sum(stage.now < s.shut for s in stage.proxy.servers.values())
+            away = sum(stage.now < s.verdict_until for s in stage.proxy.hosts.values())
             self.assertIn(away, (1, 2, 3) if believed else (0,))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -212,10 +212,10 @@
     def test_every_member_tells_that_all_hosts_are_out_and_most_stay_open(self):
         now = 1_000_000
         for n in range(30):
-            for server in self.proxy.servers.values():
+            for server in self.proxy.hosts.values():
                 blame = word(f"p{n}", now - 100, lost=9)._replace(told=now)
                 self.table.take(
-                    now, Fact(f"p{n}", 1, HOST, subject(server.line), server.id + 1, plain("a", blame), 0)
+                    now, Fact(f"p{n}", 1, HOST, subject(server.entry), server.id + 1, plain("a", blame), 0)
                 )
         judged = self.mind.look(now, now)
         shut = {host for host, until, _ in judged.hosts if until > now}
@@ -233,7 +233,7 @@
         later = now + LIVES[TRIAL] + LIVES[HOST]
         self.mind.look(later, later)
         self.assertFalse(any(s.state == OUT for s in self.mind.states.values()))
-        self.assertFalse(any(later < server.whole for server in self.proxy.servers.values()))
+        self.assertFalse(any(later < server.ramp_until for server in self.proxy.hosts.values()))
 
     def test_a_verdict_opens_nothing_that_the_proxy_itself_keeps_shut(self):
         self.proxy.handle(
@@ -242,7 +242,7 @@
                 (interface.HostEntry(3, 3, "a", 0, False, 1.0, None, "", True),), False, True
             ),
         )
-        self.proxy.keep_away(self.proxy.servers[4], "ban", 50_000)
+        self.proxy.exclude(self.proxy.hosts[4], "ban", 50_000)
         self.proxy.handle(0, interface.HostVerdicts(((3, 0, 0), (4, 0, 0)), 3))
         for n in range(200):
             self.assertFalse(
