--- a/basalthook/config/fleet.py
+++ b/basalthook/config/fleet.py
@@ -156,7 +156,7 @@
 
 def address(path: str, where: str, told: str) -> tuple[str, int]:
     try:
-        return catalogue.address(told)
+        return catalogue.parse_address(told)
     except ValueError as fault:
         raise BadFleet(f"{path}: Expected host:port, got {told!r}: {fault} - at `{where}`") from None
 
--- a/basalthook/console/calls.py
+++ b/basalthook/console/admin_api.py
@@ -6,19 +6,19 @@
 import orjson
 
 from ..protocol import http1
-from ..protocol.http1 import Malformed, Message
+from ..protocol.http1 import Message, Rejection
 
 READY, HOSTS, DISABLE, ENABLE, DRAIN, RESUME = "ready", "hosts", "disable", "enable", "drain", "resume"
 MEMBERS, VERDICTS, LIMITS = "members", "verdicts", "limits"
 READ_ONLY = READY, HOSTS, MEMBERS, VERDICTS, LIMITS  # not worth a line in the log
 PREFIX = "/-/"
-ID = "{id}"
+HOST_PLACEHOLDER = "{id}"
 # path -> method, what is asked; "{id}" stands for one segment, the id of a host as discovery tells it
-TABLE = {
+ROUTES = {
     ("ready",): ("GET", READY),
     ("hosts",): ("GET", HOSTS),
-    ("hosts", ID, "disable"): ("PUT", DISABLE),
-    ("hosts", ID, "enable"): ("PUT", ENABLE),
+    ("hosts", HOST_PLACEHOLDER, "disable"): ("PUT", DISABLE),
+    ("hosts", HOST_PLACEHOLDER, "enable"): ("PUT", ENABLE),
     ("drain",): ("PUT", DRAIN),
     ("resume",): ("PUT", RESUME),
     ("members",): ("GET", MEMBERS),
@@ -27,12 +27,12 @@
 }
 
 
-class Call(NamedTuple):
-    what: str
+class AdminRequest(NamedTuple):
+    action: str
     host: str = ""
 
 
-class Reply(NamedTuple):
+class AdminResponse(NamedTuple):
     """2xx is yes. `allow`: the one method of a path that was called with another."""
 
     status: int
@@ -40,44 +40,46 @@
     allow: str = ""
 
 
-def read(message: Message) -> Call | Reply:
+def parse_request(message: Message) -> AdminRequest | AdminResponse:
     """The call a message stands for; a Reply says why it is none."""
     path = message.target.split("?", 1)[0]
     parts = path.removeprefix(PREFIX).split("/") if path.startswith(PREFIX) else []
     host = ""
     if len(parts) == 3 and parts[0] == "hosts":
-        host, parts[1] = unquote(parts[1]), ID
-    method, what = TABLE.get(tuple(parts), ("", ""))
-    if not what or len(parts) == 3 and not host:
-        return Reply(404, "no such call")
+        host, parts[1] = unquote(parts[1]), HOST_PLACEHOLDER
+    method, action = ROUTES.get(tuple(parts), ("", ""))
+    if not action or len(parts) == 3 and not host:
+        return AdminResponse(404, "no such call")
     if message.method != method:
-        return Reply(405, f"{method} is wanted here", method)
-    return Call(what, host)
+        return AdminResponse(405, f"{method} is wanted here", method)
+    return AdminRequest(action, host)
 
 
-def refused(why: Malformed) -> Reply:
-    return Reply(why.status, why.reason)
+def rejection_response(rejection: Rejection) -> AdminResponse:
+    return AdminResponse(rejection.status, rejection.reason)
 
 
-def worded(reply: Reply) -> bytes:
+def encode_response(response: AdminResponse) -> bytes:
     """One answer; the connection ends with it."""
-    allow = [("Allow", reply.allow)] if reply.allow else []
+    allow = [("Allow", response.allow)] if response.allow else []
     return http1.response(
-        reply.status,
+        response.status,
         [("Content-Type", "text/plain; charset=utf-8"), *allow],
-        reply.text.encode() + b"\n",
+        response.text.encode() + b"\n",
         False,
     )
 
 
-def rows(lines: list[dict]) -> Reply:
+def json_lines(rows: list[dict]) -> AdminResponse:
     """A JSON line for each."""
-    return Reply(200, b"\n".join(map(orjson.dumps, lines)).decode())
+    return AdminResponse(200, b"\n".join(map(orjson.dumps, rows)).decode())
 
 
-def call(what: str, host: str = "") -> tuple[str, str]:
+def request_line(action: str, host: str = "") -> tuple[str, str]:
     """Method and path of a call, for whoever makes it."""
-    for path, (method, name) in TABLE.items():
-        if name == what:
-            return method, PREFIX + "/".join(quote(host, safe="") if part == ID else part for part in path)
-    raise ValueError(f"no call: {what}")
+    for path, (method, name) in ROUTES.items():
+        if name == action:
+            return method, PREFIX + "/".join(
+                quote(host, safe="") if part == HOST_PLACEHOLDER else part for part in path
+            )
+    raise ValueError(f"no call: {action}")
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from ..protocol.catalogue import Line, Listing
+from ..protocol.catalogue import HostList, HostRecord
 from ..recovery import knowledge
 from ..routing.clock import TICKS, Clock
 from ..routing.orders import Orders
@@ -60,7 +60,7 @@
 
     # ---- the start of a successor
 
-    def arrive(self, told: Listing) -> tuple[Listing, dict | None]:
+    def arrive(self, told: HostList) -> tuple[HostList, dict | None]:
         """The list to begin with, and what the decisions should know; before the owner starts."""
         wrong = self.neighbours.arrive()
         if wrong:
@@ -79,15 +79,15 @@
             return self.listing(found, told)
         return told, None
 
-    def listing(self, found, told: Listing) -> tuple[Listing, dict | None]:
+    def listing(self, found, told: HostList) -> tuple[HostList, dict | None]:
         try:
             if self.clock.now() - int(found["known"]["at"]) > OLD or not found["list"]["lines"]:
                 return told, None
             lines = tuple(
-                Line(line[0], (str(line[1][0]), int(line[1][1])), *line[2:])
+                HostRecord(line[0], (str(line[1][0]), int(line[1][1])), *line[2:])
                 for line in found["list"]["lines"]
             )
-            return Listing(int(found["list"]["version"]), True, lines), found["known"]
+            return HostList(int(found["list"]["version"]), True, lines), found["known"]
         except (*SOUND, IndexError) as fault:
             self.complain(f"{self.neighbours.known}: {fault!r}")
             return told, None
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -16,7 +16,7 @@
 from ..fleet.counting import Counting
 from ..policy import interface as i
 from ..policy.decide import Proxy
-from ..protocol.catalogue import Line
+from ..protocol.catalogue import HostRecord
 from ..recovery.following import Asking, Following
 from . import overrun
 from .faults import ON_PROCESSES, ClockFault, LongWay, Maintain
@@ -378,7 +378,7 @@
 
     def line(self, n: int) -> i.Host:
         machine, state = self.machines[n], self.states[n]
-        line = Line(
+        line = HostRecord(
             f"host-{n}",
             ("127.0.0.1", 1),
             self.zones[n],
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -7,7 +7,7 @@
 
 from ..program.service import Service
 from ..program.startup import decode
-from ..transport.turns import Turns, run
+from ..transport.event_loop import TimedSelector, run
 from .faults import Between, LongWay, OfProxies, Vanish
 from .load import Clients
 from .result import Result, found
@@ -48,11 +48,11 @@
 
 def play(told: Scenario, watch=None) -> Result:
     """`watch(seconds, fleet, clients, wire)` is called several times a second while it runs, if given."""
-    turns = Turns()
+    turns = TimedSelector()
     return run(_play(told, watch, turns), turns)
 
 
-async def _play(told: Scenario, watch, turns: Turns) -> Result:
+async def _play(told: Scenario, watch, turns: TimedSelector) -> Result:
     loop, wire, books = asyncio.get_running_loop(), [], Books()
     if any(isinstance(fault, Vanish | LongWay) for fault in told.faults):
         raise BadScenario(f"{told.name}: vanish and long_way are played in virtual time alone, see --depth")
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -7,9 +7,9 @@
 import click
 
 from .. import VERSION
-from ..protocol.application import HEALTH
-from ..transport.turns import Turns
-from ..transport.turns import run as run_loop
+from ..protocol.application import HEALTH_PATH
+from ..transport.event_loop import TimedSelector
+from ..transport.event_loop import run as run_loop
 from . import fleetline, staffline, startup
 from . import migrate as migration
 from .log import Log
@@ -46,14 +46,14 @@
     told = read(path, fleet)
     log = Log(told.name)
     try:
-        turns = Turns()
+        turns = TimedSelector()
         run_loop(run(told, log, lambda: startup.read(path, os.environ, fleet), turns, early), turns)
     except startup.BadStart as fault:
         leave(fault)
     log.close()
 
 
-async def run(told: startup.StartUp, log: Log, reread, turns: Turns, early: EarlyHangup) -> None:
+async def run(told: startup.StartUp, log: Log, reread, turns: TimedSelector, early: EarlyHangup) -> None:
     await Service(told, log, reread, turns, early).run()
 
 
@@ -65,7 +65,7 @@
     told = read(path, fleet)
     click.echo(
         f"{told.name}: listens on {told.listen[0]}:{told.listen[1]}, discovery at {told.discovery[0]}:"
-        f"{told.discovery[1]}, {len(told.known.lines)} hosts known, {len(told.profiles)} profiles, "
+        f"{told.discovery[1]}, {len(told.known.records)} hosts known, {len(told.profiles)} profiles, "
         f"{told.sockets} descriptors"
     )
     if told.fleet is not None:
@@ -80,7 +80,7 @@
 @click.option("--seconds", default=2.0, show_default=True, help="How long to wait for the answer.")
 def health(address: str, seconds: float) -> None:
     """Ask a running client proxy at ADDRESS (host:port) whether it is ready; exit with 1 if it is not."""
-    staffline.ask(address, seconds, "GET", HEALTH)
+    staffline.ask(address, seconds, "GET", HEALTH_PATH)
 
 
 @main.command()
--- a/basalthook/program/figures.py
+++ b/basalthook/program/figures.py
@@ -19,7 +19,7 @@
         self.timers, self.log = timers, log
 
     def begin(self) -> None:
-        self.timers.set(int(EVERY * self.timers.second), self.write)
+        self.timers.set(int(EVERY * self.timers.ticks_per_second), self.write)
 
     def write(self) -> None:
         following = self.watch.following
--- a/basalthook/program/reload.py
+++ b/basalthook/program/reload.py
@@ -45,4 +45,4 @@
         if self.looks == 1 or not again:
             self.log("file refused", reason=reason, looks=self.looks, looks_again=again)
         if again:
-            self.timer = self.timers.set(int(READ_AGAIN * self.timers.second), self.look)
+            self.timer = self.timers.set(int(READ_AGAIN * self.timers.ticks_per_second), self.look)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -5,8 +5,8 @@
 import signal
 from random import Random
 
-from ..bodies.room import Room
-from ..console.callers import PLACES, Callers
+from ..bodies.memory import BodyMemory
+from ..console.admin_server import MAX_CONNECTIONS, AdminServer
 from ..handover.handover import Handover, Here
 from ..handover.inherited import NotOurs, listening
 from ..handover.neighbours import Neighbours
@@ -21,11 +21,11 @@
 from ..routing.starts import Starts
 from ..routing.watch import Watch
 from ..transport.buffers import BufferPool
-from ..transport.descriptors import Descriptors
+from ..transport.descriptors import DescriptorBudget
+from ..transport.event_loop import TimedSelector
 from ..transport.hostpool import HostPool
 from ..transport.listener import Listener
 from ..transport.timers import Timers
-from ..transport.turns import Turns
 from .figures import Figures
 from .log import Log
 from .reload import EarlyHangup, Reload
@@ -48,7 +48,7 @@
         told: StartUp,
         log: Log,
         reread=None,
-        turns: Turns | None = None,
+        turns: TimedSelector | None = None,
         early: EarlyHangup | None = None,
     ) -> None:
         """`turns`: of the loop this runs on; without them it can't tell its own lateness from silence."""
@@ -58,14 +58,14 @@
         roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
         self.timers = timers = Timers(clock.now, TICKS)
         self.reload = Reload(reread, self.take, timers, log.say)
-        buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
+        buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), DescriptorBudget(self.sockets(told))
         self.descriptors = descriptors
         self.owner = Owner(
-            told.agreed, told.seed, clock, timers, roster, turns.behind if turns else lambda: 0, log.say
+            told.agreed, told.seed, clock, timers, roster, turns.read_lag if turns else lambda: 0, log.say
         )
         urgent: set[int] = set()
         if turns:
-            turns.first, turns.urgent = descriptors.outgoing, urgent
+            turns.priority_fds, turns.urgent_fds = descriptors.outgoing_fds, urgent
         door = Door(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
         self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
         self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.say)
@@ -83,12 +83,12 @@
             told.profiles,
             buffers,
             descriptors,
-            Room(told.bodies_most),
+            BodyMemory(told.bodies_most),
             log.say,
         )
         self.figures = Figures(self.owner, self.clients, self.attempts, self.watch, timers, log.say)
         self.staff = Staff(self.owner, roster, self.clients, clock, log.say)
-        self.callers = Callers(self.staff.carry_out, timers, buffers, urgent, log.say)
+        self.callers = AdminServer(self.staff.carry_out, timers, buffers, urgent, log.say)
         self.console: Listener | None = None
         self.listener: Listener | None = None
         self.together = None
@@ -127,7 +127,7 @@
     def sockets(self, told: StartUp) -> int:
         """Descriptors for all but the staff, who have a few of their own; half while two processes live."""
         shared = self.handover is not None and self.handover.other
-        return (told.sockets // 2 if shared else told.sockets) - (PLACES + 1 if told.console else 0)
+        return (told.sockets // 2 if shared else told.sockets) - (MAX_CONNECTIONS + 1 if told.console else 0)
 
     def accept(self, on: bool) -> None:
         """Whether new connections are taken from the backlog that another process shares. Who takes none is
@@ -138,7 +138,7 @@
             self.listener.resume() if on else self.listener.pause()
 
     def share(self) -> None:
-        self.descriptors.bound(self.sockets(self.told))
+        self.descriptors.set_limit(self.sockets(self.told))
 
     async def run(self) -> None:
         """From start to SIGTERM, or SIGINT; a second one changes nothing."""
@@ -174,8 +174,8 @@
         if self.handover is not None:
             self.handover.take_over(learned)
         if self.told.console:
-            self.console = self.listen(self.told.console, self.callers.take)
-            self.callers.urgent.add(self.console.socket.fileno())
+            self.console = self.listen(self.told.console, self.callers.accept)
+            self.callers.urgent_fds.add(self.console.socket.fileno())
             self.console.open()
         inherited = None
         if self.told.inherited:
@@ -227,9 +227,9 @@
         left = [name for name, value in kept.items() if getattr(told, name) != value]
         self.told = told._replace(**kept)
         self.log.name = told.name
-        self.descriptors.bound(self.sockets(self.told))
-        self.clients.room.most = told.bodies_most
-        self.pool.times(told.idle_seconds, told.connect_seconds)
+        self.descriptors.set_limit(self.sockets(self.told))
+        self.clients.room.capacity = told.bodies_most
+        self.pool.set_timeouts(told.idle_seconds, told.connect_seconds)
         self.watch.move(told.discovery)
         self.log.say("file taken", discovery=list(told.discovery), needs_restart=left)
 
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -24,7 +24,7 @@
     connect_seconds: float
     idle_seconds: float
     longest_patience: float  # seconds: the longest hard limit of a profile
-    known: catalogue.Listing
+    known: catalogue.HostList
     console: tuple[str, int] | None = None  # the second address, for the staff
     inherited: str | None = None  # the descriptor of the clients' listening socket, if one is told
     folder: str | None = None  # where processes of this name meet; only with one of these two
@@ -93,7 +93,7 @@
     if fleet is not None:
         fleet.bounds(terms.profiles(setup))  # a limit of a profile that there is none of
     listed = told.get("known") or {"version": 0, "full": True, "servers": []}
-    known = catalogue.listing(listed)
+    known = catalogue.parse_host_list(listed)
     if known is None:
         raise ValueError("'known' is no list of hosts")
     ours = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -102,8 +102,10 @@
     console = told.get("console") or environ.get("RELAY_CONSOLE")
     return StartUp(
         name=name,
-        listen=catalogue.address(told.get("listen") or environ["RELAY_LISTEN"], least=0),  # 0: any port
-        discovery=catalogue.address(told.get("discovery") or environ["RELAY_DISCOVERY"]),
+        listen=catalogue.parse_address(
+            told.get("listen") or environ["RELAY_LISTEN"], min_port=0
+        ),  # 0: any port
+        discovery=catalogue.parse_address(told.get("discovery") or environ["RELAY_DISCOVERY"]),
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
         sockets=min(ours, int(told.get("limits", {}).get("sockets") or ours)),
         bodies_most=int(max(4, memory - OWN) * 2**20 * BODIES),
@@ -113,7 +115,7 @@
         idle_seconds=allowed.get("keepalive_ns", 0) / 1e9,
         longest_patience=max(p["hard_limit_ns"] for p in setup["profiles"]) / 1e9,
         known=known,
-        console=catalogue.address(console, least=0) if console else None,
+        console=catalogue.parse_address(console, min_port=0) if console else None,
         inherited=environ.get("RELAY_FD"),
         folder=environ.get("TMPDIR") if console or environ.get("RELAY_FD") else None,
         fleet=fleet,
--- a/basalthook/protocol/catalogue.py
+++ b/basalthook/protocol/catalogue.py
@@ -8,12 +8,12 @@
 
 from . import http1
 
-PATH = "/catalog/members"
-BODY_MOST = 4 * 1024 * 1024
-READY = {"up": True, "draining": False, "removed": False}
+MEMBERS_PATH = "/catalog/members"
+MAX_BODY_BYTES = 4 * 1024 * 1024
+READY_BY_STATE = {"up": True, "draining": False, "removed": False}
 
 
-class Line(NamedTuple):
+class HostRecord(NamedTuple):
     id: str
     address: tuple[str, int]
     zone: str
@@ -26,41 +26,41 @@
     draining: bool = False
 
 
-class Listing(NamedTuple):
+class HostList(NamedTuple):
     version: int
     complete: bool
-    lines: tuple[Line, ...]  # one a host
-    doubled: int = 0  # lines of hosts named before in the same list, of which one counts
+    records: tuple[HostRecord, ...]  # one a host
+    duplicates: int = 0  # lines of hosts named before in the same list, of which one counts
 
 
-def call(host: str, version: int | None, wait_ms: int) -> bytes:
+def watch_request(host: str, version: int | None, wait_ms: int) -> bytes:
     """A watch for what is newer than this version; None: the whole list, now."""
-    watch = "" if version is None else f"?index={version}&wait={wait_ms}"
-    return http1.request("GET", PATH + watch, [("Host", host)])
+    query = "" if version is None else f"?index={version}&wait={wait_ms}"
+    return http1.request("GET", MEMBERS_PATH + query, [("Host", host)])
 
 
-def address(text: str, least: int = 1) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
+def parse_address(value: str, min_port: int = 1) -> tuple[str, int]:
+    host, _, port = value.rpartition(":")
     host = str(ipaddress.ip_address(host.strip("[]")))
-    if not least <= int(port) < 65536:
-        raise ValueError(f"no port: {text}")
+    if not min_port <= int(port) < 65536:
+        raise ValueError(f"no port: {value}")
     return host, int(port)
 
 
 # a list comes again and again with the same addresses; text alone, bounded by the largest list
-known_address = lru_cache(8_192)(address)
+parse_address_cached = lru_cache(8_192)(parse_address)
 
 
-def line(entry: dict) -> Line:
+def parse_host_record(entry: dict) -> HostRecord:
     if None in entry.values():
         entry = {name: value for name, value in entry.items() if value is not None}
     state, get = entry["state"], entry.get
-    return Line(
+    return HostRecord(
         str(entry["id"]),
-        known_address(entry["addr"]),
+        parse_address_cached(entry["addr"]),
         str(get("zone", "")),
         int(get("cell", 0)),
-        READY[state],
+        READY_BY_STATE[state],
         state == "removed",
         float(get("weight", 1.0)),
         int(get("started_ms", 0)) * 1_000_000,
@@ -69,25 +69,25 @@
     )
 
 
-def listing(found: dict) -> Listing | None:
+def parse_host_list(document: dict) -> HostList | None:
     """None for what is no whole, sound list: a part of one would be followed as if it were all."""
     try:
-        lines = tuple(line(entry) for entry in found["servers"])
-        if not all(entry.id and entry.weight > 0 for entry in lines):
+        records = tuple(parse_host_record(entry) for entry in document["servers"])
+        if not all(entry.id and entry.weight > 0 for entry in records):
             return None
-        once = {each.id: each for each in lines}
-        if len(once) < len(lines):  # guards against a host that leaves by one line and is up by another
-            for each in lines:
-                once[each.id] = min(once[each.id], each, key=lambda x: (x.ready, not x.removed))
-        return Listing(
-            int(found["version"]), bool(found["full"]), tuple(once.values()), len(lines) - len(once)
+        by_id = {record.id: record for record in records}
+        if len(by_id) < len(records):  # guards against a host that leaves by one line and is up by another
+            for record in records:
+                by_id[record.id] = min(by_id[record.id], record, key=lambda x: (x.ready, not x.removed))
+        return HostList(
+            int(document["version"]), bool(document["full"]), tuple(by_id.values()), len(records) - len(by_id)
         )
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError):
         return None
 
 
-def read(body: bytes) -> Listing | None:
+def decode_host_list(body: bytes) -> HostList | None:
     try:
-        return listing(orjson.loads(body))
+        return parse_host_list(orjson.loads(body))
     except orjson.JSONDecodeError:
         return None
--- a/basalthook/protocol/hosts.py
+++ b/basalthook/protocol/hosts.py
@@ -1,35 +1,35 @@
 """A hop on the wire: the message that goes to a host, and what its answer means."""
 
 from ..policy import interface as i
-from .application import PER_HOP
+from .application import FIELDS_SET_PER_ATTEMPT
 from .http1 import Message
 
-WANTED = ("not-started",)  # what the parser of hosts' answers looks for
+PARSED_FIELDS = ("not-started",)  # what the parser of hosts' answers looks for
 
 
-def hop(message: Message, seconds: float) -> tuple[bytes, ...]:
+def attempt_request(message: Message, time_limit: float) -> tuple[bytes, ...]:
     """The transaction unchanged, with the time that we will wait; head and body, written in one call."""
     body = message.body
-    sized = b"Content-Length: %d\r\n" % len(body) if body or message.method not in ("GET", "HEAD") else b""
+    framing = b"Content-Length: %d\r\n" % len(body) if body or message.method not in ("GET", "HEAD") else b""
     head = b"%b %b HTTP/1.1\r\n%bRequest-Timeout: %.4f\r\n%b\r\n" % (
         message.method.encode(),
         message.target.encode(),
-        message.lines_without(*PER_HOP),
-        seconds,
-        sized,
+        message.field_lines_without(*FIELDS_SET_PER_ATTEMPT),
+        time_limit,
+        framing,
     )
     return (head, body) if body else (head,)
 
 
-MAY_PASS = {408, 425, 429}  # of 4xx: these speak of the moment, not of the message
+TRANSIENT_STATUSES = {408, 425, 429}  # of 4xx: these speak of the moment, not of the message
 
 
-def outcome(answer: Message, written: bool) -> str:
+def classify_response(response: Message, written: bool) -> str:
     """What an answer proves. One that came before the whole hop was written can't be a commit."""
-    if answer.status in (503, 504) and answer.field("not-started") == "1":
+    if response.status in (503, 504) and response.field("not-started") == "1":
         return i.REFUSED
-    if answer.status == 200:
+    if response.status == 200:
         return i.COMMITTED if written else i.ERROR
-    if written and 400 <= answer.status < 500 and answer.status not in MAY_PASS:
+    if written and 400 <= response.status < 500 and response.status not in TRANSIENT_STATUSES:
         return i.DECLINED  # guards against blaming hosts, and asking further ones, for a bad transaction
     return i.ERROR
--- a/basalthook/protocol/http1.py
+++ b/basalthook/protocol/http1.py
@@ -9,33 +9,33 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-HEAD_MOST = 16 * 1024
-BODY_MOST = 64 * 1024
-LONG_MOST = 1024**3  # of a body that goes on in pieces: one that says more is no sound message
-INTERIMS_MOST = 64
-LINE_MOST = 256  # of a chunk's size line
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_STREAMED_BODY_BYTES = 1024**3  # of a body that goes on in pieces: one that says more is no sound message
+MAX_INTERIM_RESPONSES = 64
+MAX_CHUNK_LINE_BYTES = 256  # of a chunk's size line
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]++"
 # possessive, so that a head that does not match costs one pass and no more
-LINES = rb"(?:" + TOKEN + rb":[\t\x20-\x7e\x80-\xff]*+\r\n)*+"
-REQUEST = re.compile(rb"(" + TOKEN + rb") ([\x21-\x7e]++) HTTP/(\d)\.(\d)\r\n" + LINES)
-RESPONSE = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: [\t\x20-\x7e\x80-\xff]*+)?\r\n" + LINES)
+FIELD_LINES = rb"(?:" + TOKEN + rb":[\t\x20-\x7e\x80-\xff]*+\r\n)*+"
+REQUEST_HEAD = re.compile(rb"(" + TOKEN + rb") ([\x21-\x7e]++) HTTP/(\d)\.(\d)\r\n" + FIELD_LINES)
+RESPONSE_HEAD = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: [\t\x20-\x7e\x80-\xff]*+)?\r\n" + FIELD_LINES)
 TRAILER = re.compile(TOKEN + rb":[\t\x20-\x7e\x80-\xff]*")
-BARE_END = re.compile(rb"(?<!\r)\n")
+BARE_LINE_FEED = re.compile(rb"(?<!\r)\n")
 LENGTH = re.compile(r"[0-9]{1,18}")
-CHUNK = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
-NO_BODY = {204, 304}
-FRAMING = ("connection", "content-length", "expect", "host", "transfer-encoding")
-KEPT, CLOSED = "keep-alive", "close"
+CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
+NO_BODY_STATUSES = {204, 304}
+FRAMING_FIELDS = ("connection", "content-length", "expect", "host", "transfer-encoding")
+KEEP_ALIVE, CLOSE = "keep-alive", "close"
 
 
 @lru_cache(maxsize=64)
-def fields_named(*names: str) -> re.Pattern[bytes]:
+def compile_field_pattern(*names: str) -> re.Pattern[bytes]:
     """Finds every field of these names in a head whose lines each end with CRLF, the start line included."""
     return re.compile(rb"\r\n(" + b"|".join(re.escape(n.encode()) for n in names) + rb"):([^\r\n]*+)", re.I)
 
 
 @lru_cache(maxsize=64)
-def lines_named(*names: str) -> re.Pattern[bytes]:
+def compile_field_line_pattern(*names: str) -> re.Pattern[bytes]:
     """Matches whole lines of these names, to leave them out of a message that goes on."""
     either = b"|".join(re.escape(n.encode()) for n in names)
     return re.compile(rb"^(?:" + either + rb"):[^\n]*+\n", re.I | re.M)
@@ -47,36 +47,38 @@
     method: str  # requests
     target: str
     status: int  # responses
-    lines: bytes  # its field lines as they came, each with its CRLF
-    marked: dict[str, list[str]]  # values of the fields that were looked for, names in lower case
+    field_lines: bytes  # its field lines as they came, each with its CRLF
+    parsed_fields: dict[str, list[str]]  # values of the fields that were looked for, names in lower case
     body: bytes
-    keep: bool  # the connection can be used again
+    keep_alive: bool  # the connection can be used again
     delimited: bool  # its own framing told where it ends, not the connection's end
-    minor: int = 1  # of its version, HTTP/1.x
+    minor_version: int = 1  # of its version, HTTP/1.x
     length: int | None = None  # of a body that is not all here: as its head says, None if it does not
 
     def values(self, name: str) -> list[str]:
         """Of all fields of this name (lower case), in order."""
-        if name in self.marked:
-            return self.marked[name]
-        found = fields_named(name).finditer(b"\r\n" + self.lines)
-        return [field[2].strip(b" \t").decode("latin-1") for field in found]
+        if name in self.parsed_fields:
+            return self.parsed_fields[name]
+        result = compile_field_pattern(name).finditer(b"\r\n" + self.field_lines)
+        return [field[2].strip(b" \t").decode("latin-1") for field in result]
 
     def field(self, name: str) -> str | None:
         """The first of this name."""
         return next(iter(self.values(name)), None)
 
-    def options(self) -> set[str]:
+    def connection_options(self) -> set[str]:
         """What its Connection fields name."""
-        return {o.strip().lower() for v in self.marked.get("connection", ()) for o in v.split(",")}
+        return {o.strip().lower() for v in self.parsed_fields.get("connection", ()) for o in v.split(",")}
 
-    def lines_without(self, *names: str) -> bytes:
+    def field_lines_without(self, *names: str) -> bytes:
         """Its field lines less those of these names, and less those that its Connection field names."""
-        more = self.options() - {"", KEPT, CLOSED} if "connection" in self.marked else ()
-        return lines_named(*names, *sorted(more)).sub(b"", self.lines)
+        more = (
+            self.connection_options() - {"", KEEP_ALIVE, CLOSE} if "connection" in self.parsed_fields else ()
+        )
+        return compile_field_line_pattern(*names, *sorted(more)).sub(b"", self.field_lines)
 
 
-class Malformed(NamedTuple):
+class Rejection(NamedTuple):
     status: int  # what a server answers to it
     reason: str
 
@@ -92,37 +94,40 @@
     def __init__(
         self,
         responses: bool,
-        body_most: int = BODY_MOST,
-        wanted: tuple[str, ...] = (),
-        long: bool = False,
-        open_most: int | None = None,
+        max_body: int = MAX_BODY_BYTES,
+        field_names: tuple[str, ...] = (),
+        streaming: bool = False,
+        max_undelimited_body: int | None = None,
     ) -> None:
         """`wanted`: names of fields that whoever reads the message will ask for, in lower case. `open_most`:
         of a body whose length nobody told, in place of `body_most`."""
-        self.responses, self.body_most, self.long = responses, body_most, long
-        self.open_most = body_most if open_most is None else open_most
-        self.finds, self.whole = fields_named(*FRAMING, *wanted), RESPONSE if responses else REQUEST
-        self.rest = bytearray()
-        self.again()
-
-    def again(self) -> None:
-        self.found: Message | Malformed | None = None
-        self.started = bool(self.rest)
-        self.body, self.need, self.seen, self.interims = bytearray(), 0, 0, 0
+        self.responses, self.max_body, self.streaming = responses, max_body, streaming
+        self.max_undelimited_body = max_body if max_undelimited_body is None else max_undelimited_body
+        self.field_pattern, self.head_pattern = (
+            compile_field_pattern(*FRAMING_FIELDS, *field_names),
+            RESPONSE_HEAD if responses else REQUEST_HEAD,
+        )
+        self.unparsed = bytearray()
+        self.next_message()
+
+    def next_message(self) -> None:
+        self.result: Message | Rejection | None = None
+        self.started = bool(self.unparsed)
+        self.body, self.remaining, self.scanned, self.interims = bytearray(), 0, 0, 0
         self.head: tuple | None = None
-        self.begun: Message | None = None
+        self.streamed_head: Message | None = None
         self.state = Parser._head  # not bound: that would be a circle that holds the body
 
     def feed(self, data) -> None:
-        self.rest += data
-        self.started = self.started or bool(self.rest)
-        while self.found is None and self.state(self):
+        self.unparsed += data
+        self.started = self.started or bool(self.unparsed)
+        while self.result is None and self.state(self):
             pass
 
-    def end(self) -> None:
+    def feed_eof(self) -> None:
         """The connection has ended."""
-        if self.found is None and self.head is not None and self.state is Parser._to_the_end:
-            self._finish(keep=False, delimited=False)
+        if self.result is None and self.head is not None and self.state is Parser._until_close:
+            self._finish(keep_alive=False, delimited=False)
 
     def take_body(self) -> bytearray:
         """What has come of a long body since the last time."""
@@ -130,177 +135,191 @@
         return body
 
     @property
-    def awaits_body(self) -> bool:
+    def expects_continue(self) -> bool:
         """The head is there and asks to be told before the body is sent."""
         return (
-            self.found is None
+            self.result is None
             and self.head is not None
             and not self.body
-            and not self.rest
+            and not self.unparsed
             and any(v.lower() == "100-continue" for v in self.head[4].get("expect", ()))
         )
 
     # ---- the states: each takes what it can from `rest` and says whether another look is worth while
 
     def _head(self) -> bool:
-        rest = self.rest
-        if not self.responses and rest.startswith(b"\r\n"):
-            del rest[:2]  # an empty line before a request is passed over
-            self.seen = 0
+        unparsed = self.unparsed
+        if not self.responses and unparsed.startswith(b"\r\n"):
+            del unparsed[:2]  # an empty line before a request is passed over
+            self.scanned = 0
             return True
-        at = rest.find(b"\r\n\r\n", max(0, self.seen - 3))
-        if at < 0 or at + 4 > HEAD_MOST:
-            if BARE_END.search(rest, max(0, self.seen - 1)):
-                return self._bad(400, "bare line end")  # its sender takes the head for ended
-            self.seen = len(rest)
-            return self._bad(431, "head too long") if self.seen > HEAD_MOST or at >= 0 else False
-        head = bytes(rest[: at + 2])
-        del rest[: at + 4]
-        self.seen = 0  # guards against missing a short head behind an interim one
-        line = self.whole.fullmatch(head)
+        at = unparsed.find(b"\r\n\r\n", max(0, self.scanned - 3))
+        if at < 0 or at + 4 > MAX_HEAD_BYTES:
+            if BARE_LINE_FEED.search(unparsed, max(0, self.scanned - 1)):
+                return self._reject(400, "bare line end")  # its sender takes the head for ended
+            self.scanned = len(unparsed)
+            return self._reject(431, "head too long") if self.scanned > MAX_HEAD_BYTES or at >= 0 else False
+        head = bytes(unparsed[: at + 2])
+        del unparsed[: at + 4]
+        self.scanned = 0  # guards against missing a short head behind an interim one
+        line = self.head_pattern.fullmatch(head)
         if line is None:
-            return self._bad(400, "no start line" if self.whole.match(head) is None else "bad field line")
-        marked: dict[str, list[str]] = {}
-        for name, value in self.finds.findall(head):
+            return self._reject(
+                400, "no start line" if self.head_pattern.match(head) is None else "bad field line"
+            )
+        parsed_fields: dict[str, list[str]] = {}
+        for name, value in self.field_pattern.findall(head):
             name = name.decode().lower()
-            if name in marked:
-                marked[name].append(value.decode("latin-1").strip(" \t"))
+            if name in parsed_fields:
+                parsed_fields[name].append(value.decode("latin-1").strip(" \t"))
             else:
-                marked[name] = [value.decode("latin-1").strip(" \t")]
-        return self._start(line, head[head.index(b"\n") + 1 :], marked)
+                parsed_fields[name] = [value.decode("latin-1").strip(" \t")]
+        return self._start(line, head[head.index(b"\n") + 1 :], parsed_fields)
 
-    def _start(self, line, lines: bytes, marked: dict[str, list[str]]) -> bool:
+    def _start(self, line, field_lines: bytes, parsed_fields: dict[str, list[str]]) -> bool:
         if self.responses:
             version, method, target, status = (line[1], line[2]), "", "", int(line[3])
         else:
             version, method, target, status = (line[3], line[4]), line[1].decode(), line[2].decode(), 0
         if version[0] != b"1":
-            return self._bad(505, "not HTTP/1")
-        lengths, codings = marked.get("content-length", ()), marked.get("transfer-encoding", ())
-        hosts = len(marked.get("host", ()))
+            return self._reject(505, "not HTTP/1")
+        lengths, codings = parsed_fields.get("content-length", ()), parsed_fields.get("transfer-encoding", ())
+        hosts = len(parsed_fields.get("host", ()))
         if not self.responses and (hosts > 1 or not hosts and version[1] != b"0"):
-            return self._bad(400, "not one Host field")
+            return self._reject(400, "not one Host field")
         if codings and (lengths or version[1] == b"0"):
-            return self._bad(400, "length and transfer coding")
+            return self._reject(400, "length and transfer coding")
         if codings and (len(codings) > 1 or codings[0].lower() != "chunked"):
-            return self._bad(501, "unknown transfer coding")
+            return self._reject(501, "unknown transfer coding")
         if lengths and (len(lengths) > 1 or not LENGTH.fullmatch(lengths[0])):
-            return self._bad(400, "bad Content-Length")
-        keep = version[1] != b"0"
-        if "connection" in marked:
-            options = {o.strip().lower() for v in marked["connection"] for o in v.split(",")}
-            keep = CLOSED not in options and (keep or KEPT in options)
+            return self._reject(400, "bad Content-Length")
+        keep_alive = version[1] != b"0"
+        if "connection" in parsed_fields:
+            connection_options = {
+                o.strip().lower() for v in parsed_fields["connection"] for o in v.split(",")
+            }
+            keep_alive = CLOSE not in connection_options and (keep_alive or KEEP_ALIVE in connection_options)
         if self.responses and 100 <= status < 200 and status != 101:
             self.interims += 1  # an interim answer; the next head follows
-            return True if self.interims <= INTERIMS_MOST else self._bad(400, "no end of interim answers")
-        self.head, self.minor = (method, target, status, lines, marked, keep), int(version[1])
-        if self.responses and (status in NO_BODY or status == 101):
-            return self._finish(keep=status != 101)
+            return (
+                True
+                if self.interims <= MAX_INTERIM_RESPONSES
+                else self._reject(400, "no end of interim answers")
+            )
+        self.head, self.minor_version = (
+            (method, target, status, field_lines, parsed_fields, keep_alive),
+            int(version[1]),
+        )
+        if self.responses and (status in NO_BODY_STATUSES or status == 101):
+            return self._finish(keep_alive=status != 101)
         if codings:
             self.state = Parser._chunk_size
         elif lengths:
-            self.need = int(lengths[0])
-            if self.need > self.body_most and not self._grows(self.need, self.need):
+            self.remaining = int(lengths[0])
+            if self.remaining > self.max_body and not self._accept_size(self.remaining, self.remaining):
                 return False
-            self.state = Parser._sized if self.begun is None else Parser._sized_long
+            self.state = Parser._sized if self.streamed_head is None else Parser._sized_streamed
         elif self.responses:
-            self.state = Parser._to_the_end
+            self.state = Parser._until_close
         else:
             return self._finish()
         return True
 
     def _sized(self) -> bool:
-        if len(self.rest) < self.need:
+        if len(self.unparsed) < self.remaining:
             return False
-        self._take(self.need)
+        self._consume(self.remaining)
         return self._finish()
 
-    def _sized_long(self) -> bool:
-        count = min(self.need, len(self.rest))
-        self.need -= count
-        self._take(count)
-        return self._finish() if not self.need else False
+    def _sized_streamed(self) -> bool:
+        count = min(self.remaining, len(self.unparsed))
+        self.remaining -= count
+        self._consume(count)
+        return self._finish() if not self.remaining else False
 
-    def _to_the_end(self) -> bool:
-        if not self._grows(len(self.body) + len(self.rest)):
+    def _until_close(self) -> bool:
+        if not self._accept_size(len(self.body) + len(self.unparsed)):
             return False
-        self._take(len(self.rest))
+        self._consume(len(self.unparsed))
         return False
 
     def _chunk_size(self) -> bool:
         line = self._line()
         if line is None:
-            return self.found is not None
-        size = CHUNK.fullmatch(line)
+            return self.result is not None
+        size = CHUNK_SIZE.fullmatch(line)
         if size is None:
-            return self._bad(400, "bad chunk size")
-        self.need = int(size[1], 16)
-        if not self._grows(len(self.body) + self.need):
+            return self._reject(400, "bad chunk size")
+        self.remaining = int(size[1], 16)
+        if not self._accept_size(len(self.body) + self.remaining):
             return False
-        self.state, self.seen = (Parser._chunk, 0) if self.need else (Parser._trailer, 0)
+        self.state, self.scanned = (Parser._chunk, 0) if self.remaining else (Parser._trailer, 0)
         return True
 
     def _chunk(self) -> bool:
-        if self.need:
-            count = min(self.need, len(self.rest))
-            self.need -= count
-            self._take(count)
-        if self.need or len(self.rest) < 2:
+        if self.remaining:
+            count = min(self.remaining, len(self.unparsed))
+            self.remaining -= count
+            self._consume(count)
+        if self.remaining or len(self.unparsed) < 2:
             return False
-        if self.rest[:2] != b"\r\n":
-            return self._bad(400, "chunk longer than its size")
-        del self.rest[:2]
+        if self.unparsed[:2] != b"\r\n":
+            return self._reject(400, "chunk longer than its size")
+        del self.unparsed[:2]
         self.state = Parser._chunk_size
         return True
 
     def _trailer(self) -> bool:
         line = self._line()
         if line is None:
-            return self.found is not None
-        self.seen += len(line) + 2  # trailers are passed over, as many as a head may be long
-        if self.seen > HEAD_MOST:
-            return self._bad(431, "trailers too long")
+            return self.result is not None
+        self.scanned += len(line) + 2  # trailers are passed over, as many as a head may be long
+        if self.scanned > MAX_HEAD_BYTES:
+            return self._reject(431, "trailers too long")
         if line and TRAILER.fullmatch(line) is None:
-            return self._bad(400, "bad trailer")
+            return self._reject(400, "bad trailer")
         return True if line else self._finish()
 
     # ---- pieces of them
 
     def _line(self) -> bytes | None:
-        at = self.rest.find(b"\r\n", 0, LINE_MOST)
+        at = self.unparsed.find(b"\r\n", 0, MAX_CHUNK_LINE_BYTES)
         if at < 0:
-            if len(self.rest) >= LINE_MOST:
-                self._bad(400, "line too long")
+            if len(self.unparsed) >= MAX_CHUNK_LINE_BYTES:
+                self._reject(400, "line too long")
             return None
-        line = bytes(self.rest[:at])
-        del self.rest[: at + 2]
+        line = bytes(self.unparsed[:at])
+        del self.unparsed[: at + 2]
         return line
 
-    def _take(self, count: int) -> None:
-        if not self.body and count == len(self.rest):
-            self.body, self.rest = self.rest, bytearray()  # the ordinary case: handed on, not copied
+    def _consume(self, count: int) -> None:
+        if not self.body and count == len(self.unparsed):
+            self.body, self.unparsed = self.unparsed, bytearray()  # the ordinary case: handed on, not copied
             return
-        with memoryview(self.rest) as rest, rest[:count] as part:
+        with memoryview(self.unparsed) as unparsed, unparsed[:count] as part:
             self.body += part
-        del self.rest[:count]
+        del self.unparsed[:count]
 
-    def _grows(self, size: int, length: int | None = None) -> bool:
+    def _accept_size(self, size: int, length: int | None = None) -> bool:
         """Whether a body may be so long."""
-        if size > (self.open_most if length is None else self.body_most) and self.begun is None:
-            if not self.long or size > LONG_MOST:
-                return self._bad(413, f"body too long: {size}")
-            *begun, keep = self.head
-            self.begun = Message(*begun, b"", keep, True, self.minor, length)
+        if (
+            size > (self.max_undelimited_body if length is None else self.max_body)
+            and self.streamed_head is None
+        ):
+            if not self.streaming or size > MAX_STREAMED_BODY_BYTES:
+                return self._reject(413, f"body too long: {size}")
+            *start, keep_alive = self.head
+            self.streamed_head = Message(*start, b"", keep_alive, True, self.minor_version, length)
         return True
 
-    def _bad(self, status: int, reason: str) -> bool:
-        self.found = Malformed(status, reason)
+    def _reject(self, status: int, reason: str) -> bool:
+        self.result = Rejection(status, reason)
         return False
 
-    def _finish(self, keep: bool = True, delimited: bool = True) -> bool:
-        *begun, wanted = self.head
-        body = bytes(self.body) if self.begun is None else b""
-        self.found = Message(*begun, body, keep and wanted, delimited, self.minor)
+    def _finish(self, keep_alive: bool = True, delimited: bool = True) -> bool:
+        *start, persistent = self.head
+        body = bytes(self.body) if self.streamed_head is None else b""
+        self.result = Message(*start, body, keep_alive and persistent, delimited, self.minor_version)
         return False
 
 
@@ -331,6 +350,6 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def response(status: int, fields, body: bytes, keep: bool) -> bytes:
-    framing = [("Content-Length", str(len(body)))] + ([] if keep else [("Connection", "close")])
+def response(status: int, fields, body: bytes, keep_alive: bool) -> bytes:
+    framing = [("Content-Length", str(len(body)))] + ([] if keep_alive else [("Connection", "close")])
     return head(f"HTTP/1.1 {status} {PHRASES.get(status, 'Status')}", [*fields, *framing]) + body
--- /dev/null
+++ b/basalthook/protocol/peer_messages.py
@@ -0,0 +1,26 @@
+"""News among proxies: one fact of one host a message, in seven bytes. Malformed ones are nothing."""
+
+from ..policy import interface as i
+
+MESSAGE_BYTES = 7
+CODES_BY_KIND = {i.MET_FAULT: 1, i.AT_FAULT: 2}
+KINDS_BY_CODE = {code: kind for kind, code in CODES_BY_KIND.items()}
+
+
+def encode(kind: str, host_hash: int) -> bytes:
+    """`mark`: the number that stands for the host at every proxy."""
+    return bytes([CODES_BY_KIND[kind]]) + host_hash.to_bytes(MESSAGE_BYTES - 1, "big")
+
+
+def decode(payload: bytes) -> tuple[str, int] | None:
+    if len(payload) != MESSAGE_BYTES or payload[0] not in KINDS_BY_CODE:
+        return None
+    return KINDS_BY_CODE[payload[0]], int.from_bytes(payload[1:], "big")
+
+
+def decode_hex(digits: str) -> tuple[str, int] | None:
+    """The same from hex digits."""
+    try:
+        return decode(bytes.fromhex(digits))
+    except (ValueError, TypeError):
+        return None
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -5,11 +5,11 @@
 
 from collections import Counter
 
-from ..bodies.relay import Relay
+from ..bodies.forwarder import ResponseForwarder
 from ..policy import interface as i
 from ..protocol import hosts
-from ..protocol.http1 import Malformed, Message, Parser
-from ..transport.connection import ENDED, Connection, Fault, Stage
+from ..protocol.http1 import Message, Parser, Rejection
+from ..transport.connection import PEER_CLOSED, Connection, ConnectionFailure, Stage
 from ..transport.hostpool import HostPool
 from ..transport.timers import Timers
 from .clock import TICK, TICKS, Clock
@@ -67,16 +67,16 @@
         self.stop(i.TIMED_OUT)
 
     def begin(self) -> None:
-        connection = self.attempts.pool.kept_one(self.place.door)
+        connection = self.attempts.pool.take_idle(self.place.door)
         if connection is not None:
             self.reused, self.connection = True, connection
             return self.send()
-        connection = self.attempts.pool.fresh(self.place.address, self.up)
-        if isinstance(connection, Fault):
+        connection = self.attempts.pool.open_connection(self.place.address, self.up)
+        if isinstance(connection, ConnectionFailure):
             return self.finish(connection)
         self.stage, self.connection = Stage.CONNECTING, connection
 
-    def up(self, fault: Fault | None) -> None:
+    def up(self, fault: ConnectionFailure | None) -> None:
         if self.over:
             return
         if fault is not None:
@@ -97,11 +97,13 @@
             self.keep()
             return self.finish(None)
         self.stage = Stage.WRITING
-        self.answer = Parser(responses=True, wanted=hosts.WANTED, long=True, open_most=OPEN_MOST)
+        self.answer = Parser(
+            responses=True, field_names=hosts.PARSED_FIELDS, streaming=True, max_undelimited_body=OPEN_MOST
+        )
         left = self.limit - (attempts.clock.now() - self.begun)
-        connection.follow(self.took, self.ended)
+        connection.start_reading(self.took, self.ended)
         if not self.over and connection.write(
-            hosts.hop(self.order.asked.message, max(1, left) / TICKS), self.wrote
+            hosts.attempt_request(self.order.asked.message, max(1, left) / TICKS), self.wrote
         ):
             self.wrote()
 
@@ -114,7 +116,7 @@
             self.answer.feed(part)
             if self.stage == Stage.WRITTEN:
                 self.stage = Stage.ANSWERING
-            found, begun = self.answer.found, self.answer.begun
+            found, begun = self.answer.result, self.answer.streamed_head
             if isinstance(found, Message) and begun is not None:  # a long one that came whole in one read
                 found = found._replace(body=bytes(self.answer.take_body()))
             if found is not None:
@@ -123,23 +125,25 @@
                 self.pass_on(begun, late // TICK)
         except Exception as fault:  # exceptions stop here; how far the attempt had come still counts
             self.attempts.say("fault", where="hop", error=repr(fault))
-            self.finish(Fault(self.stage, repr(fault)))
+            self.finish(ConnectionFailure(self.stage, repr(fault)))
 
-    def ended(self, fault: Fault) -> None:
+    def ended(self, fault: ConnectionFailure) -> None:
         # guards against passing on as whole what a reset cut short
-        if fault.reason == ENDED:
-            self.answer.end()
-        self.finish(self.answer.found or fault)
+        if fault.reason == PEER_CLOSED:
+            self.answer.feed_eof()
+        self.finish(self.answer.result or fault)
 
     def pass_on(self, begun: Message, late: int) -> None:
         """A long answer has begun. It is this transaction's last word, and goes on without this attempt."""
         if begun.status != 200 or self.stage != Stage.ANSWERING:
-            return self.finish(begun._replace(keep=False), late)  # its status is all that counts
+            return self.finish(begun._replace(keep_alive=False), late)  # its status is all that counts
         self.over, attempts, pool = True, self.attempts, self.attempts.pool
         attempts.timers.cancel(self.timer)
         connection, self.connection, door = self.connection, None, self.place.door
-        late += connection.noticed_late // TICK if not self.reused else 0
-        relay = Relay(connection, self.answer, attempts.timers, lambda kept: pool.keep(kept, door))
+        late += connection.connect_notice_delay // TICK if not self.reused else 0
+        relay = ResponseForwarder(
+            connection, self.answer, attempts.timers, lambda kept: pool.release(kept, door)
+        )
         elapsed = max(0, attempts.clock.now() - late - self.begun)
         attempts.outcomes[i.COMMITTED] += 1
         attempts.owner.post(
@@ -151,9 +155,9 @@
     def keep(self) -> None:
         """From here on the connection is the pool's: stopping this attempt must not close it."""
         connection, self.connection = self.connection, None
-        self.attempts.pool.keep(connection, self.place.door)
+        self.attempts.pool.release(connection, self.place.door)
 
-    def finish(self, found: Message | Fault | Malformed | None, late: int = 0) -> None:
+    def finish(self, found: Message | ConnectionFailure | Rejection | None, late: int = 0) -> None:
         """`late`: ticks that the answer had lain here unread; they are ours, not the host's."""
         if self.over:
             return
@@ -161,11 +165,11 @@
         attempts, connection = self.attempts, self.connection
         attempts.timers.cancel(self.timer)
         if connection is not None:
-            late += connection.noticed_late // TICK if not self.reused else 0
+            late += connection.connect_notice_delay // TICK if not self.reused else 0
             if (
                 isinstance(found, Message)
-                and found.keep
-                and not self.answer.rest
+                and found.keep_alive
+                and not self.answer.unparsed
                 and (self.stage == Stage.ANSWERING)
             ):
                 self.keep()
@@ -233,14 +237,14 @@
         return attempt
 
     @staticmethod
-    def outcome(attempt: Attempt, found: Message | Fault | Malformed | None) -> str:
+    def outcome(attempt: Attempt, found: Message | ConnectionFailure | Rejection | None) -> str:
         written = attempt.stage >= Stage.WRITTEN
         if isinstance(found, Message):
-            return hosts.outcome(found, written)
+            return hosts.classify_response(found, written)
         if attempt.stopped is not None and written:
             return attempt.stopped
         if attempt.stopped is not None or attempt.stage == Stage.UNTRIED:
             return i.UNSENT
-        if isinstance(found, Malformed) and written:
+        if isinstance(found, Rejection) and written:
             return i.ERROR  # guards against taking a host that answers, if badly, for one that is gone
         return i.RESET if written else i.DROPPED if attempt.stage == Stage.WRITING else i.UNREACHABLE
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections import Counter
 
-from ..bodies.room import STEP, Room
+from ..bodies.memory import GROWTH_BYTES, BodyMemory
 from ..protocol import application, http1
-from ..protocol.application import Asked
-from ..protocol.http1 import Malformed, Message, Parser
+from ..protocol.application import TransactionRequest
+from ..protocol.http1 import Message, Parser, Rejection
 from ..recovery.door import Door
 from ..transport.buffers import BufferPool
-from ..transport.connection import Connection, Fault
-from ..transport.descriptors import Descriptors
+from ..transport.connection import Connection, ConnectionFailure
+from ..transport.descriptors import DescriptorBudget
 from ..transport.timers import Timers
 from .clock import TICK, TICKS, Clock
 from .owner import Answer, Arrived, Gone, Order, Overdue, Owner
@@ -57,7 +57,7 @@
 
     def __init__(self, clients: "Clients", connection: Connection) -> None:
         self.clients, self.connection, self.state = clients, connection, NEW
-        self.parser = Parser(responses=False, wanted=application.WANTED, long=True)
+        self.parser = Parser(responses=False, field_names=application.PARSED_FIELDS, streaming=True)
         self.mark = self.held = 0  # bytes of a body at the last look; of memory taken for it
         self.body, self.relay, self.chunked = None, None, False  # a long body as far as it is here
         self.order: Order | None = None
@@ -66,7 +66,7 @@
         self.timer = self.within(STALLED, self.stalled)  # guards against silence too
 
     def begin(self) -> None:
-        self.connection.follow(self.took, self.ended)
+        self.connection.start_reading(self.took, self.ended)
 
     def within(self, seconds: float, call) -> list:
         return self.clients.timers.set(int(seconds * TICKS), call)
@@ -74,8 +74,8 @@
     def took(self, part, late: int) -> None:
         try:
             if self.state in (BUSY, AHEAD):  # its next request: read on once this one is answered
-                self.parser.rest += part
-                self.connection.pause()
+                self.parser.unparsed += part
+                self.connection.pause_reading()
             elif self.state == LEAVING:
                 self.skim(len(part))
             else:
@@ -85,7 +85,7 @@
 
     def parse(self, part, late: int) -> None:
         self.parser.feed(part)
-        if self.parser.begun is None or self.collect():
+        if self.parser.streamed_head is None or self.collect():
             self.look(late)
 
     def read_on(self) -> None:
@@ -96,11 +96,11 @@
                 self.parse(b"", 0)
             if (
                 self.connection.paused
-                and not self.parser.found
+                and not self.parser.result
                 and self.state != LEAVING
                 and (self not in self.clients.room.waiting)
             ):
-                self.connection.follow(self.took, self.ended)
+                self.connection.start_reading(self.took, self.ended)
         except Exception as fault:  # exceptions stop at the connection
             self.broke(fault)
 
@@ -109,7 +109,7 @@
         self.ended(None)
 
     def look(self, late: int) -> None:
-        found, clients = self.parser.found, self.clients
+        found, clients = self.parser.result, self.clients
         if found is None:
             come = len(self.parser.body) + len(self.body or b"")
             if self.state != COMING or self.parser.head and (not self.mark or come - self.mark > PROGRESS):
@@ -118,7 +118,7 @@
                 self.timer = self.within(STALLED, self.stalled)
                 self.mark = max(1, come) if self.parser.head else 0
             self.state, self.since = COMING, clients.clock.now()
-            if self.parser.awaits_body and not self.continued:
+            if self.parser.expects_continue and not self.continued:
                 self.continued = True
                 self.connection.write((http1.CONTINUE,))
             return
@@ -127,40 +127,40 @@
         if isinstance(found, Message):
             if self.body is not None:
                 found, self.body = found._replace(body=self.body), None
-            if found.target == application.HEALTH:
-                self.keep = found.keep and not clients.drained
+            if found.target == application.HEALTH_PATH:
+                self.keep = found.keep_alive and not clients.drained
                 return self.write((clients.health(self.keep),))
             else:
-                self.keep = found.keep
+                self.keep = found.keep_alive
                 if not clients.door.admit(clients.clock.now(), -(-late // TICK)):
                     return self.not_now()
-                found = application.asked(found, clients.profiles)
-        if isinstance(found, Malformed):
+                found = application.parse_transaction(found, clients.profiles)
+        if isinstance(found, Rejection):
             return self.turn_away(found)
         self.carry(found, late)
 
     def collect(self) -> bool:
         """A long body: it needs memory before it is read on. Whether it has that."""
-        body, told = self.parser.take_body(), self.parser.begun.length
+        body, told = self.parser.take_body(), self.parser.streamed_head.length
         if self.body is None:
             self.body = bytearray()
-        need = told if told is not None else -(-(len(self.body) + len(body)) // STEP) * STEP
+        need = told if told is not None else -(-(len(self.body) + len(body)) // GROWTH_BYTES) * GROWTH_BYTES
         self.body += body
         return need <= self.held or self.ask_room(need - self.held)
 
     def ask_room(self, more: int) -> bool:
         room = self.clients.room
-        if self.held + more > room.most:
-            self.refuse_body(Malformed(413, "body too long for the memory here"))
+        if self.held + more > room.capacity:
+            self.refuse_body(Rejection(413, "body too long for the memory here"))
             return False
-        if room.take(more):
+        if room.try_acquire(more):
             self.held += more
             return True
         self.state = BUSY  # with us: guards against going as one that has stopped
-        self.connection.pause()
+        self.connection.pause_reading()
         self.clients.timers.cancel(self.timer)
         self.timer = self.within(NO_ROOM, self.no_room)
-        room.wait(self, more, lambda: self.got_room(more))
+        room.enqueue(self, more, lambda: self.got_room(more))
         return False
 
     def got_room(self, more: int) -> None:
@@ -169,25 +169,27 @@
             self.clients.timers.cancel(self.timer)
             self.timer, self.mark = self.within(STALLED, self.stalled), len(self.body)
             self.state, self.since = COMING, self.clients.clock.now()
-            if self.parser.found is not None:
+            if self.parser.result is not None:
                 return self.look(0)
-            self.connection.follow(self.took, self.ended)
+            self.connection.start_reading(self.took, self.ended)
         except Exception as fault:  # exceptions stop at the connection, not at whoever made room
             self.broke(fault)
 
     def no_room(self) -> None:
         """Nothing of it has run."""
-        self.clients.sparingly("no memory", held=self.clients.room.held)
+        self.clients.sparingly("no memory", held=self.clients.room.in_use)
         self.clients.timers.cancel(self.timer)
         self.timer, self.keep, self.state = None, False, BUSY
         self.free_room()
-        self.write((application.rolled_back(min(self.clients.come_back_most, TICKS // 2) / TICKS, False),))
+        self.write(
+            (application.rollback_response(min(self.clients.come_back_most, TICKS // 2) / TICKS, False),)
+        )
 
-    def refuse_body(self, why: Malformed) -> None:
+    def refuse_body(self, why: Rejection) -> None:
         self.clients.timers.cancel(self.timer)
         self.timer, self.state = None, BUSY
         self.free_room()
-        self.connection.pause()
+        self.connection.pause_reading()
         self.turn_away(why)
 
     def free_room(self) -> None:
@@ -195,7 +197,7 @@
         held, self.held, self.body, self.mark = self.held, 0, None, 0
         self.clients.room.withdraw(self)
         if held:
-            self.clients.room.give(held)
+            self.clients.room.release(held)
 
     def not_now(self) -> None:
         """This process can't keep up: rolled back before it costs more; nothing of it has run."""
@@ -207,12 +209,12 @@
             turned_away=clients.door.turned_away,
         )
         self.keep = self.keep and clients.stay()
-        self.write((application.rolled_back(come_back / TICKS, self.keep),))
+        self.write((application.rollback_response(come_back / TICKS, self.keep),))
 
-    def carry(self, asked: Asked, late: int) -> None:
+    def carry(self, asked: TransactionRequest, late: int) -> None:
         clients = self.clients
         if asked.id in clients.ids:  # guards against answering one client with what another asked
-            return self.turn_away(Malformed(409, "this Request-Id is open already"))
+            return self.turn_away(Rejection(409, "this Request-Id is open already"))
         clients.ids.add(asked.id)
         came = clients.clock.now() - -(-late // TICK)
         limit = min(came + int(asked.timeout * TICKS), clients.last_answer)
@@ -254,18 +256,20 @@
 
     def pass_on(self, answer: Answer, order: Order) -> None:
         """A host's long answer, as it comes."""
-        known, modern = answer.message.length is not None, order.asked.message.minor > 0
+        known, modern = answer.message.length is not None, order.asked.message.minor_version > 0
         self.chunked = not known and modern
         self.keep = self.keep and (known or modern)
         self.relay = answer.relay
-        head = application.committed_long(answer.message, self.keep, self.chunked)
-        self.relay.begin(self)
-        if self.connection.write((head,), self.relay.go_on):
-            self.relay.go_on()
+        head = application.streamed_response_head(answer.message, self.keep, self.chunked)
+        self.relay.start(self)
+        if self.connection.write((head,), self.relay.resume):
+            self.relay.resume()
 
     def piece(self, data) -> bool:
         """Whether the kernel has taken it; else the relay goes on once it has."""
-        return self.connection.write(application.chunk(data) if self.chunked else (data,), self.relay.go_on)
+        return self.connection.write(
+            application.encode_chunk(data) if self.chunked else (data,), self.relay.resume
+        )
 
     def over(self, whole: bool) -> None:
         """The long answer is all there; or it broke off, and the client has to be able to tell."""
@@ -274,7 +278,7 @@
             return self.clients.drop(self)
         if not whole:
             self.clients.sparingly("cut short")
-            self.connection.reset()
+            self.connection.reset_on_close()
             return self.clients.drop(self)
         self.write((application.LAST_CHUNK,) if self.chunked else ())
 
@@ -300,17 +304,17 @@
             if self.connection.paused:  # guards against an answer lost to what its reader wrote meanwhile
                 return self.leave()
             return self.clients.drop(self)
-        self.parser.again()
-        self.continued, self.state = False, AHEAD if self.parser.rest else IDLE
+        self.parser.next_message()
+        self.continued, self.state = False, AHEAD if self.parser.unparsed else IDLE
         self.clients.rest(self)
         if self.state == AHEAD or self.connection.paused:
             self.clients.timers.set(0, self.read_on)  # not from here: a hundred in a row would nest
 
-    def turn_away(self, why: Malformed) -> None:
+    def turn_away(self, why: Rejection) -> None:
         """Bad input: say so, and give the peer time to read it before the connection ends."""
         self.clients.sparingly("bad input", status=why.status, reason=why.reason)
         self.keep = False
-        if self.connection.write((application.told(why.status, why.reason, False),), self.leave):
+        if self.connection.write((application.text_response(why.status, why.reason, False),), self.leave):
             self.leave()
         elif not self.connection.closed:
             self.timer = self.within(TAKE_IN, self.ended_for)
@@ -319,24 +323,24 @@
         self.clients.timers.cancel(self.timer)
         self.state, self.unread = LEAVING, LEFT_UNREAD
         self.timer = self.within(LINGER, self.ended_for)
-        self.connection.end_sending()
+        self.connection.shutdown_write()
         if self.connection.paused:
-            self.connection.follow(self.took, self.ended)
+            self.connection.start_reading(self.took, self.ended)
 
     def skim(self, count: int) -> None:
         self.unread -= count
         if self.unread <= 0 and not self.connection.paused:
-            self.connection.pause()  # it sends on: no more is read, and it has time to see why
+            self.connection.pause_reading()  # it sends on: no more is read, and it has time to see why
             self.clients.timers.cancel(self.timer)
             self.timer = self.within(LINGER, self.ended_for)
 
     def stalled(self) -> None:
         """Guards against peers that stop half-way, or never begin, and hold a connection for ever."""
         if self.state == COMING:
-            self.connection.write((application.told(408, "stopped half-way", False),))
+            self.connection.write((application.text_response(408, "stopped half-way", False),))
         self.clients.drop(self)
 
-    def ended(self, _: Fault | None) -> None:
+    def ended(self, _: ConnectionFailure | None) -> None:
         order, relay = self.order, self.relay
         if order is not None:
             self.settled()
@@ -356,7 +360,7 @@
 
     def left(self) -> bool:
         """Whether the client has gone: unread bytes may hide its end from who waits for more of them."""
-        if self.connection.peer_ended():
+        if self.connection.peer_closed():
             self.ended(None)
             return True
         return False
@@ -374,14 +378,14 @@
         door: Door,
         profiles: dict[str, int],
         buffers: BufferPool,
-        descriptors: Descriptors,
-        room: Room,
+        descriptors: DescriptorBudget,
+        room: BodyMemory,
         say,
     ) -> None:
         self.owner, self.clock, self.timers, self.door = owner, clock, timers, door
         self.profiles, self.room, self.say = profiles, room, say
         self.buffers, self.descriptors = buffers, descriptors
-        descriptors.givers.append(lambda: self.close_idle(1))
+        descriptors.reclaimers.append(lambda: self.close_idle(1))
         self.last_answer = NO_END  # once this process ends: the moment of its last answer
         self.ready, self.come_back_most = False, owner.agreed.come_back_max
         self.sending_away = None  # while drained by the staff: the next look at who is here
@@ -406,12 +410,12 @@
         client = Client(self, connection)
         self.open[client] = None
         client.begin()
-        return self.descriptors.room(self.descriptors.most) and fits
+        return self.descriptors.ensure_below(self.descriptors.max_open) and fits
 
     def make_room(self) -> bool:
         """Guards against peers that connect by hundreds and say nothing, or stop half-way: they go first, no
         host's does. Who writes slowly but goes on is a good client, and goes last."""
-        crowd = len(self.open) + 1 - self.descriptors.most_for_clients
+        crowd = len(self.open) + 1 - self.descriptors.max_clients
         for state, rested in ((COMING, STUCK), (NEW, 0), (LEAVING, 0), (IDLE, STUCK), (COMING, 0), (IDLE, 0)):
             if crowd > 0:
                 crowd -= self.close_idle(crowd, (state,), rested)
@@ -430,7 +434,7 @@
             if (
                 state in states
                 and client.since <= until
-                and (state in (COMING, LEAVING) or client.connection.quiet())
+                and (state in (COMING, LEAVING) or client.connection.is_idle())
             ):
                 idle.append(client)
         for client in idle:
@@ -447,10 +451,10 @@
 
     def sweep(self) -> None:
         """Guards against clients that ask once and stay: they hold the places of those that want to ask."""
-        spare, rested = len(self.open) - self.descriptors.at_ease, []
+        spare, rested = len(self.open) - self.descriptors.max_kept_alive_clients, []
         until = self.clock.now() - int(RESTED * TICKS)
         if spare > 0:
-            rested = [c for c in self.open if c.state == IDLE and c.since <= until and c.connection.quiet()]
+            rested = [c for c in self.open if c.state == IDLE and c.since <= until and c.connection.is_idle()]
         for client in rested[: max(0, spare)]:
             self.drop(client)
         self.sweeping = bool(self.open)
@@ -459,7 +463,7 @@
 
     def stay(self) -> bool:
         """Whether a connection may stay open behind its answer."""
-        return self.ready and not self.drained and len(self.open) <= self.descriptors.at_ease
+        return self.ready and not self.drained and len(self.open) <= self.descriptors.max_kept_alive_clients
 
     def drain(self, drained: bool) -> None:
         """Send clients away, or take them again. Answers close their connections; who idles goes a little
@@ -475,7 +479,7 @@
         now = self.clock.now()
         self.close_idle()
         for client in [c for c in self.open if c.state == NEW and now - c.since > int(LEAVE_NEW * TICKS)]:
-            if client.connection.quiet():
+            if client.connection.is_idle():
                 self.drop(client)
         self.sending_away = self.timers.set(int(LOOK_AWAY * TICKS), self.send_away)
 
@@ -497,13 +501,13 @@
         status, text = (
             (503, "not ready") if not self.ready else (503, "drained") if self.drained else (200, "ready")
         )
-        return application.told(status, text, keep)
+        return application.text_response(status, text, keep)
 
     def worded(self, answer: Answer, order: Order, keep: bool) -> tuple[bytes, ...]:
         if answer.kind == "committed":
-            return application.committed(answer.message, keep)
+            return application.committed_response(answer.message, keep)
         if answer.kind == "declined":
-            return (application.told(answer.message.status, "declined by the host", keep),)
+            return (application.text_response(answer.message.status, "declined by the host", keep),)
         if answer.kind == "rolled back":
-            return (application.rolled_back(answer.come_back / TICKS, keep),)
-        return (application.abandoned(self.clock.now() >= order.hard_limit, keep),)
+            return (application.rollback_response(answer.come_back / TICKS, keep),)
+        return (application.abandoned_response(self.clock.now() >= order.hard_limit, keep),)
--- a/basalthook/routing/orders.py
+++ b/basalthook/routing/orders.py
@@ -4,7 +4,7 @@
 its successor, a record on disk) join to the same set in whatever order they meet.
 """
 
-from ..protocol.catalogue import Line
+from ..protocol.catalogue import HostRecord
 
 WORDS_MOST = 4096  # hosts with a word on them; those put back longest ago go first
 
@@ -46,7 +46,7 @@
         self.drain = max(self.drain, other.drain)
         return set(later)
 
-    def over(self, line: Line) -> Line:
+    def over(self, line: HostRecord) -> HostRecord:
         """A line of the list under these orders: out is draining, put back is cold from then on."""
         if line.removed or line.id not in self.words:
             return line
--- a/basalthook/routing/owner.py
+++ b/basalthook/routing/owner.py
@@ -6,8 +6,8 @@
 from .. import terms
 from ..policy import interface as i
 from ..policy.decide import Proxy
-from ..protocol.application import Asked
-from ..protocol.catalogue import Listing
+from ..protocol.application import TransactionRequest
+from ..protocol.catalogue import HostList
 from ..protocol.http1 import Message
 from ..transport.timers import Timers
 from .clock import TICK, Clock
@@ -32,7 +32,7 @@
 
     __slots__ = ("asked", "came", "hard_limit", "deliver", "left", "number", "attempts", "closed")
 
-    def __init__(self, asked: Asked, came: int, hard_limit: int, deliver, left) -> None:
+    def __init__(self, asked: TransactionRequest, came: int, hard_limit: int, deliver, left) -> None:
         """`came`: when its last byte came in; `deliver(answer)` is called once, unless its client went.
 
         `left()` looks whether the client has gone, and if so ends the request with `Gone`.
@@ -75,7 +75,7 @@
 
 
 class Listed(NamedTuple):
-    listing: Listing
+    listing: HostList
     answered: bool
 
 
@@ -109,7 +109,7 @@
         self.orders: dict[int, Order] = {}
         self.begin_attempt = None  # set by whoever builds the program
 
-    def start(self, known: Listing) -> None:
+    def start(self, known: HostList) -> None:
         self.decide(self.roster.told(known, answered=False))
 
     def post(self, item) -> None:
--- a/basalthook/routing/roster.py
+++ b/basalthook/routing/roster.py
@@ -4,7 +4,7 @@
 
 from .. import terms
 from ..policy import interface as i
-from ..protocol.catalogue import Line, Listing
+from ..protocol.catalogue import HostList, HostRecord
 from .orders import Orders
 from .starts import Starts
 
@@ -14,7 +14,7 @@
     address: tuple[str, int]
     ready: bool
     mark: int  # the number that stands for its id at every proxy
-    line: Line  # as discovery told it last, before the staff's orders
+    line: HostRecord  # as discovery told it last, before the staff's orders
 
     @property
     def door(self) -> tuple:
@@ -35,12 +35,12 @@
         self.changes: dict[str, list[str]] = {}  # by the newest list: kind of change -> ids of endpoints
         self.left = lambda door: None  # told of the doors of hosts that have left
 
-    def told(self, listing: Listing, answered: bool) -> i.HostsListed:
+    def told(self, listing: HostList, answered: bool) -> i.HostsListed:
         """Take a list in and turn it into the decisions' event."""
         self.changes = {}
-        event = i.HostsListed(tuple(self._line(line) for line in listing.lines), listing.complete, answered)
+        event = i.HostsListed(tuple(self._line(line) for line in listing.records), listing.complete, answered)
         named = {line.host for line in event.hosts}
-        removed = {self.numbers[line.id] for line in listing.lines if line.removed}
+        removed = {self.numbers[line.id] for line in listing.records if line.removed}
         if listing.complete:
             removed |= self.places.keys() - named
         self._drop(n for n in removed if not (self.only_draining_binds and self.places[n].ready))
@@ -86,7 +86,7 @@
     def ready(self, number: int) -> bool:
         return number in self.places and self.places[number].ready
 
-    def _line(self, told: Line) -> i.Host:
+    def _line(self, told: HostRecord) -> i.Host:
         line = self.orders.over(told)
         number = self.numbers.get(line.id)
         if number is None:
@@ -102,7 +102,7 @@
             number, mark, line.zone, line.cell, line.ready, line.weight, started_ns, line.kind, line.draining
         )
 
-    def _note(self, known: Place | None, line: Line, ready: bool) -> None:
+    def _note(self, known: Place | None, line: HostRecord, ready: bool) -> None:
         """Write down what a line changes, for the log."""
         if known is None or known.ready != ready:
             self._changed("ready" if ready else "draining" if line.draining else "gone", line.id)
--- a/basalthook/routing/staff.py
+++ b/basalthook/routing/staff.py
@@ -1,13 +1,13 @@
 """What the staff asks of this process, carried out: hosts out and back, clients away and back, what holds."""
 
-from ..console import calls
-from ..console.calls import Call, Reply
+from ..console import admin_api
+from ..console.admin_api import AdminRequest, AdminResponse
 from .clients import Clients
 from .clock import TICK, Clock
 from .owner import Ordered, Owner
 from .roster import Roster
 
-ALONE = Reply(404, "this process talks with no others: it was given no fleet file")
+ALONE = AdminResponse(404, "this process talks with no others: it was given no fleet file")
 
 
 class Staff:
@@ -19,15 +19,17 @@
         self.keep = lambda orders: ""
         self.fleet = None  # what is told of the fleet, where this process talks with others
 
-    def carry_out(self, call: Call) -> Reply:
-        return self.DOES[call.what](self, call)
+    def carry_out(self, call: AdminRequest) -> AdminResponse:
+        return self.DOES[call.action](self, call)
 
-    def ready(self, _: Call) -> Reply:
+    def ready(self, _: AdminRequest) -> AdminResponse:
         if not self.clients.ready:
-            return Reply(503, "not ready")
-        return Reply(200, "ready, and drained: clients are sent away" if self.clients.drained else "ready")
+            return AdminResponse(503, "not ready")
+        return AdminResponse(
+            200, "ready, and drained: clients are sent away" if self.clients.drained else "ready"
+        )
 
-    def hosts(self, _: Call) -> Reply:
+    def hosts(self, _: AdminRequest) -> AdminResponse:
         servers, orders = self.owner.proxy.servers, self.roster.orders
         lines = [
             {
@@ -44,47 +46,47 @@
             for host, (_, out) in orders.words.items()
             if out and not self.roster.known(host)
         ]
-        return calls.rows(sorted(lines + away, key=lambda line: line["id"]))
+        return admin_api.json_lines(sorted(lines + away, key=lambda line: line["id"]))
 
-    def members(self, _: Call) -> Reply:
-        return calls.rows(self.fleet.members()) if self.fleet is not None else ALONE
+    def members(self, _: AdminRequest) -> AdminResponse:
+        return admin_api.json_lines(self.fleet.members()) if self.fleet is not None else ALONE
 
-    def verdicts(self, _: Call) -> Reply:
-        return calls.rows(self.fleet.verdicts()) if self.fleet is not None else ALONE
+    def verdicts(self, _: AdminRequest) -> AdminResponse:
+        return admin_api.json_lines(self.fleet.verdicts()) if self.fleet is not None else ALONE
 
-    def limits(self, _: Call) -> Reply:
-        return calls.rows(self.fleet.shares()) if self.fleet is not None else ALONE
+    def limits(self, _: AdminRequest) -> AdminResponse:
+        return admin_api.json_lines(self.fleet.shares()) if self.fleet is not None else ALONE
 
-    def host(self, call: Call) -> Reply:
-        orders, out = self.roster.orders, call.what == calls.DISABLE
+    def host(self, call: AdminRequest) -> AdminResponse:
+        orders, out = self.roster.orders, call.action == admin_api.DISABLE
         if not self.roster.known(call.host) and not orders.out(call.host):
-            return Reply(404, "no such host")
+            return AdminResponse(404, "no such host")
         if not orders.tell(call.host, self.clock.now() * TICK, out):
-            return Reply(200, "it is out already" if out else "it was not out")
+            return AdminResponse(200, "it is out already" if out else "it was not out")
         self.owner.post(Ordered({call.host}))
         return self.kept("out" if out else "back, and cold")
 
-    def drain(self, call: Call) -> Reply:
-        drained = call.what == calls.DRAIN
+    def drain(self, call: AdminRequest) -> AdminResponse:
+        drained = call.action == admin_api.DRAIN
         if not self.roster.orders.tell_drain(self.clock.now() * TICK, drained):
-            return Reply(200, "drained already" if drained else "not drained")
+            return AdminResponse(200, "drained already" if drained else "not drained")
         self.clients.drain(drained)
         return self.kept("clients are sent away" if drained else "back to work")
 
-    def kept(self, text: str) -> Reply:
+    def kept(self, text: str) -> AdminResponse:
         wrong = self.keep(self.roster.orders)
         if wrong:
             self.say("orders not kept", reason=wrong)
-        return Reply(200, text + (f"; lost with this process: {wrong}" if wrong else ""))
+        return AdminResponse(200, text + (f"; lost with this process: {wrong}" if wrong else ""))
 
     DOES = {
-        calls.READY: ready,
-        calls.HOSTS: hosts,
-        calls.DISABLE: host,
-        calls.ENABLE: host,
-        calls.DRAIN: drain,
-        calls.RESUME: drain,
-        calls.MEMBERS: members,
-        calls.VERDICTS: verdicts,
-        calls.LIMITS: limits,
+        admin_api.READY: ready,
+        admin_api.HOSTS: hosts,
+        admin_api.DISABLE: host,
+        admin_api.ENABLE: host,
+        admin_api.DRAIN: drain,
+        admin_api.RESUME: drain,
+        admin_api.MEMBERS: members,
+        admin_api.VERDICTS: verdicts,
+        admin_api.LIMITS: limits,
     }
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -7,8 +7,8 @@
 from ..protocol.http1 import Message, Parser
 from ..recovery.following import BESIDE_MOST, GIVE_UP, Following
 from ..transport.buffers import BufferPool
-from ..transport.connection import Connection, Fault, Stage
-from ..transport.descriptors import Descriptors
+from ..transport.connection import Connection, ConnectionFailure, Stage
+from ..transport.descriptors import DescriptorBudget
 from ..transport.timers import Timers
 from .owner import Listed, Owner
 
@@ -27,7 +27,7 @@
         following: Following,
         owner: Owner,
         buffers: BufferPool,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         timers: Timers,
         log,
     ) -> None:
@@ -44,7 +44,7 @@
 
     def age(self) -> float:
         """Seconds since discovery last answered, or since the start."""
-        return (self.timers.now() - self.answered_at) / self.timers.second
+        return (self.timers.now() - self.answered_at) / self.timers.ticks_per_second
 
     def begin(self, at_once: bool = False) -> None:
         if not self.calls and self.retry_timer is None:
@@ -106,7 +106,7 @@
         self.log(
             "list lost",
             reason="; ".join(dict.fromkeys(self.reasons)),
-            again_ms=wait * 1000 // self.timers.second,
+            again_ms=wait * 1000 // self.timers.ticks_per_second,
             failures=self.following.failures,
             urgent=self.following.urgent,
             to=list(self.address),
@@ -121,8 +121,8 @@
 
     async def run_connection(self, me: asyncio.Task, at_once: bool) -> str:
         """One connection, for as long as it lasts, and what went wrong."""
-        connection = Connection.towards(self.address, self.buffers, self.descriptors)
-        if isinstance(connection, Fault):
+        connection = Connection.for_address(self.address, self.buffers, self.descriptors)
+        if isinstance(connection, ConnectionFailure):
             return connection.reason
         try:
             return await self.follow(connection, me, at_once)
@@ -145,9 +145,9 @@
             wait = 0 if at_once or whole else self.following.watch_wait()
             with self.bounded(connection, wait, late, me):
                 found = await self.call(connection, wait)
-            if isinstance(found, Fault):
+            if isinstance(found, ConnectionFailure):
                 return found.reason
-            listing = catalogue.read(found.body) if found.status == 200 else None
+            listing = catalogue.decode_host_list(found.body) if found.status == 200 else None
             if listing is None:
                 return (
                     f"status {found.status}, no sound list"
@@ -158,10 +158,10 @@
                 return "changes in place of the whole list"
             await self.take_answer(listing, me, at_once)
             at_once, late = False, self.following.silent_after(1)
-            if not found.keep:
+            if not found.keep_alive:
                 return ""
 
-    async def take_answer(self, listing: catalogue.Listing, me: asyncio.Task, at_once: bool) -> None:
+    async def take_answer(self, listing: catalogue.HostList, me: asyncio.Task, at_once: bool) -> None:
         """The first answer of any call counts, and its connection is the watch from here on."""
         others = [call for call in self.calls if call is not me]
         for call in others:
@@ -177,13 +177,13 @@
             self.log("list behind", version=listing.version, ours=self.version)
             return
         newer, self.version, self.whole = listing.version != self.version, listing.version, False
-        if newer or listing.lines or listing.complete:
-            doubled = {"doubled": listing.doubled} if listing.doubled else {}
+        if newer or listing.records or listing.complete:
+            doubled = {"doubled": listing.duplicates} if listing.duplicates else {}
             self.log(
                 "list",
                 version=listing.version,
                 complete=listing.complete,
-                lines=len(listing.lines),
+                lines=len(listing.records),
                 **doubled,
             )
             self.owner.post(Listed(listing, answered=True))
@@ -193,11 +193,11 @@
         if not at_once:
             await asyncio.sleep(GAP if newer else PAUSE)
 
-    async def call(self, connection: Connection, wait: int) -> Message | Fault:
-        answer = Parser(responses=True, body_most=catalogue.BODY_MOST)
+    async def call(self, connection: Connection, wait: int) -> Message | ConnectionFailure:
+        answer = Parser(responses=True, max_body=catalogue.MAX_BODY_BYTES)
         version = None if self.whole else self.version
-        call = catalogue.call(
-            f"{self.address[0]}:{self.address[1]}", version, wait * 1000 // self.timers.second
+        call = catalogue.watch_request(
+            f"{self.address[0]}:{self.address[1]}", version, wait * 1000 // self.timers.ticks_per_second
         )
         over = asyncio.get_running_loop().create_future()
         self.calls_begun += 1
@@ -206,36 +206,36 @@
             number=self.calls_begun,
             to=list(self.address),
             version=version,
-            wait_ms=wait * 1000 // self.timers.second,
-            reused=bool(connection.took),
+            wait_ms=wait * 1000 // self.timers.ticks_per_second,
+            reused=bool(connection.on_data),
         )
         if connection.closed:
-            return Fault(Stage.WRITING, "ended between two calls")
+            return ConnectionFailure(Stage.WRITING, "ended between two calls")
 
         def took(part, _) -> None:
             answer.feed(part)
-            if answer.found is not None and not over.done():
+            if answer.result is not None and not over.done():
                 over.set_result(None)
 
-        def ended(fault: Fault) -> None:
-            answer.end()
+        def ended(fault: ConnectionFailure) -> None:
+            answer.feed_eof()
             if not over.done():
-                over.set_result(None if answer.found is not None else fault)
+                over.set_result(None if answer.result is not None else fault)
 
-        connection.follow(took, ended)
+        connection.start_reading(took, ended)
         if not over.done():
             connection.write((call,))
         fault = await over
         if fault is not None:
             return fault
-        if not isinstance(answer.found, Message) or not answer.found.delimited:
-            return Fault(Stage.ANSWERING, "no HTTP answer")
-        return answer.found
+        if not isinstance(answer.result, Message) or not answer.result.delimited:
+            return ConnectionFailure(Stage.ANSWERING, "no HTTP answer")
+        return answer.result
 
     @contextmanager
     def bounded(self, connection: Connection, wait: int, late: int, me: asyncio.Task):
         """What is waited for inside gets a call beside it if it is late, and ends with the connection."""
-        why = f"not within {(wait + GIVE_UP) / self.timers.second:g} s"
+        why = f"not within {(wait + GIVE_UP) / self.timers.ticks_per_second:g} s"
         due = (
             self.timers.set(wait + late, self.add_call, me),
             self.timers.set(wait + GIVE_UP, connection.fail, why),
--- a/basalthook/simwire/__main__.py
+++ b/basalthook/simwire/__main__.py
@@ -4,15 +4,15 @@
 
 import orjson
 
-from .codec import Desk
+from .codec import BatchProcessor
 
 
 def main() -> int:
-    desk = Desk()
+    processor = BatchProcessor()
     read, write, flush = sys.stdin.buffer, sys.stdout.buffer.write, sys.stdout.buffer.flush
     for line in read:
         try:
-            reply = desk.serve(orjson.loads(line))
+            reply = processor.process(orjson.loads(line))
         except Exception as fault:  # the bench ends the run on it; the trace is for whoever reads the log
             sys.stderr.write(f"basalthook: cannot go on after {line[:200]!r}: {fault!r}\n")
             raise
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -4,7 +4,7 @@
 from ..fleet.counting import Counting
 from ..policy import interface as i
 from ..policy.decide import Proxy
-from ..protocol import news
+from ..protocol import peer_messages
 from ..recovery.following import Asking, Following
 from ..terms import TENTH
 
@@ -20,35 +20,37 @@
 }
 
 
-class Seat:
+class Instance:
     """One instance: its decisions, and its ids against the small numbers that stand for them."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.agreement(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.decider = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
         self.profiles = terms.profiles(setup)
         self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
         self.addresses: list[str] = []
-        self.marks: list[int] = []  # of the same: hashed once, as lists come often
-        self.marked: dict[int, int] = {}  # and back; news name hosts by them
-        self.numbers: dict[str, int] = {}  # open transactions; emptied when one is closed and no hop is out
-        self.words: dict[int, list] = {}  # number -> [word, hops out, closed]
-        self.next = 0
+        self.host_hashes: list[int] = []  # of the same: hashed once, as lists come often
+        self.host_by_hash: dict[int, int] = {}  # and back; news name hosts by them
+        self.tx_numbers: dict[
+            str, int
+        ] = {}  # open transactions; emptied when one is closed and no hop is out
+        self.transactions: dict[int, list] = {}  # number -> [word, hops out, closed]
+        self.next_number = 0
 
-    def host(self, address: str) -> int:
+    def host_index(self, address: str) -> int:
         known = self.hosts.get(address)
         if known is None:
             known = self.hosts[address] = len(self.addresses)
             self.addresses.append(address)
-            self.marks.append(terms.number(address))
-            self.marked[self.marks[known]] = known
+            self.host_hashes.append(terms.number(address))
+            self.host_by_hash[self.host_hashes[known]] = known
         return known
 
-    def listed(self, records: list) -> tuple:
+    def decode_hosts(self, records: list) -> tuple:
         return tuple(
             terms.host(
                 number,
-                self.marks[number],
+                self.host_hashes[number],
                 r.get("area", ""),
                 r.get("block", 0),
                 r["status"] == "in_service",
@@ -58,76 +60,80 @@
                 r["status"] == "terminating",
             )
             for r in records
-            for number in (self.host(r["host"]),)
+            for number in (self.host_index(r["host"]),)
         )
 
-    def close(self, tx: int, hops: int = 0, closed: bool = False) -> None:
-        entry = self.words.get(tx)
+    def _release(self, tx: int, hops: int = 0, closed: bool = False) -> None:
+        entry = self.transactions.get(tx)
         if entry is None:
             return
         entry[1] += hops
         entry[2] = entry[2] or closed
         if entry[2] and not entry[1]:
-            del self.words[tx]
-            del self.numbers[entry[0]]
+            del self.transactions[tx]
+            del self.tx_numbers[entry[0]]
 
-    def event(self, name: str, f: dict, lists: dict) -> tuple | None:
+    def decode_event(self, name: str, fields: dict, lists: dict) -> tuple | None:
         """The event in our words; None where it speaks of what is already closed here."""
         if name == "QUERY":
-            tx = self.numbers[f["corr"]] = self.next
-            self.next += 1
-            self.words[tx] = [f["corr"], 0, False]
-            key, party = f.get("path_key"), f.get("party") or None
+            tx = self.tx_numbers[fields["corr"]] = self.next_number
+            self.next_number += 1
+            self.transactions[tx] = [fields["corr"], 0, False]
+            key, party = fields.get("path_key"), fields.get("party") or None
             return i.TxArrived(
                 tx,
-                self.profiles[f["tier_class"]],
+                self.profiles[fields["tier_class"]],
                 terms.number(key) if key else None,
-                f["patience_left_ns"] // TENTH,
+                fields["patience_left_ns"] // TENTH,
                 party=party and terms.number(party),
             )
         if name == "VERDICT":
-            tx, closed = self.numbers.get(f["corr"]), bool(f.get("terminal"))
+            tx, closed = self.tx_numbers.get(fields["corr"]), bool(fields.get("terminal"))
             if tx is None:
                 return None
-            self.close(tx, -1, closed)
+            self._release(tx, -1, closed)
             return i.HopEnded(
                 tx,
-                f.get("hop", 0),
-                self.host(f["host"]),
-                OUTCOMES[f["code"]],
-                f.get("lag_ns", 0) // TENTH,
+                fields.get("hop", 0),
+                self.host_index(fields["host"]),
+                OUTCOMES[fields["code"]],
+                fields.get("lag_ns", 0) // TENTH,
                 closed,
             )
         if name == "DEADLINE_HIT":
-            return i.TimerDue(f["mark"])
+            return i.TimerDue(fields["mark"])
         if name == "GONE":
-            tx = self.numbers.get(f["corr"])
+            tx = self.tx_numbers.get(fields["corr"])
             if tx is None:
                 return None
-            self.close(tx, 0, True)
+            self._release(tx, 0, True)
             return i.TxGone(tx)
         if name == "UNDER_WAY":
-            tx = self.numbers.get(f["corr"])
-            return None if tx is None else i.StreamBegan(tx, f.get("hop", 0))
+            tx = self.tx_numbers.get(fields["corr"])
+            return None if tx is None else i.StreamBegan(tx, fields.get("hop", 0))
         if name == "VIEW":
-            if f["scope"] == "unavailable":
+            if fields["scope"] == "unavailable":
                 return i.ListFailed()
             return i.HostsListed(
-                self.listed(lists[f["slot"]]),
-                complete=f["scope"] != "update",
-                answered=f["scope"] != "restored",
+                self.decode_hosts(lists[fields["slot"]]),
+                complete=fields["scope"] != "update",
+                answered=fields["scope"] != "restored",
             )
         if name == "INBOX":
-            what, mark = news.read(f.get("payload")) or (None, None)
-            return i.NewsCame(f["src"], self.marked[mark], what) if mark in self.marked else None
+            what, mark = peer_messages.decode_hex(fields.get("payload")) or (None, None)
+            return (
+                i.NewsCame(fields["src"], self.host_by_hash[mark], what)
+                if mark in self.host_by_hash
+                else None
+            )
         if name == "PONG":
             return None  # nothing is probed
         raise ValueError(f"unknown event {name}")
 
-    def action(self, effect: tuple) -> dict:
+    def encode_decision(self, effect: tuple) -> dict:
         kind = type(effect)
         if kind is i.SendHop:
-            word = self.words[effect.tx]
+            word = self.transactions[effect.tx]
             word[1] += 1
             return {
                 "FORWARD": {
@@ -139,33 +145,33 @@
         if kind is i.SetTimer:
             return {"SLEEP": {"delay_ns": effect.delay * TENTH, "mark": effect.mark}}
         if kind is i.RollBack:
-            word = self.words[effect.tx][0]
-            self.close(effect.tx, 0, True)
+            word = self.transactions[effect.tx][0]
+            self._release(effect.tx, 0, True)
             return {"SHED": {"corr": word, "stay_away_ns": effect.come_back * TENTH}}
         if kind is i.Abandon:
-            word = self.words[effect.tx][0]
-            self.close(effect.tx, 0, True)
+            word = self.transactions[effect.tx][0]
+            self._release(effect.tx, 0, True)
             return {"ABORT": {"corr": word}}
         if kind is i.CancelHop:
-            return {"REVOKE": {"corr": self.words[effect.tx][0], "hop": effect.hop}}
+            return {"REVOKE": {"corr": self.transactions[effect.tx][0], "hop": effect.hop}}
         if kind is i.TellNews:
             return {
                 "SIGNAL": {
                     "recipient": "all" if effect.peer is None else effect.peer,
-                    "payload": news.encode(effect.what, self.marks[effect.host]).hex(),
+                    "payload": peer_messages.encode(effect.what, self.host_hashes[effect.host]).hex(),
                 }
             }
         return {"OBSERVE": {"on": True}}
 
 
-class Desk:
+class BatchProcessor:
     """All instances of one process; they share the numbered lists of the wire and nothing else."""
 
     def __init__(self) -> None:
-        self.seats: dict[str, Seat] = {}
+        self.instances: dict[str, Instance] = {}
         self.lists: dict[int, list] = {}  # at most sixteen, each replaced by the next of its number
 
-    def serve(self, batch: dict) -> dict:
+    def process(self, batch: dict) -> dict:
         now, parts = batch["ts_ns"] // TENTH, []
         for part in batch["parts"]:
             who, decisions = part["who"], []
@@ -174,16 +180,16 @@
                 if name == "DIRECTORY":
                     self.lists[fields.get("slot", 0)] = fields["records"]
                 elif name == "SPAWN":
-                    seat = self.seats[who] = Seat(fields["nonce64"], fields["setup"], now)
-                    decisions += map(seat.action, seat.mind.begin())
+                    instance = self.instances[who] = Instance(fields["nonce64"], fields["setup"], now)
+                    decisions += map(instance.encode_decision, instance.decider.begin())
                 elif name == "KILL":
-                    self.seats.pop(who, None)
+                    self.instances.pop(who, None)
                     decisions.clear()  # what was decided before in this batch died with it
                 else:
-                    seat = self.seats[who]
-                    told = seat.event(name, fields, self.lists)
-                    if told is not None:
-                        decisions += map(seat.action, seat.mind.handle(now, told))
+                    instance = self.instances[who]
+                    decoded = instance.decode_event(name, fields, self.lists)
+                    if decoded is not None:
+                        decisions += map(instance.encode_decision, instance.decider.handle(now, decoded))
             if decisions:
                 parts.append({"who": who, "decisions": decisions})
         return {"parts": parts}
--- a/basalthook/transport/buffers.py
+++ b/basalthook/transport/buffers.py
@@ -2,13 +2,16 @@
 
 
 class BufferPool:
-    def __init__(self, size: int, kept: int) -> None:
-        self.size, self.kept = size, kept  # as many are out as connections read; so many are kept free
+    def __init__(self, size: int, max_free: int) -> None:
+        self.size, self.max_free = (
+            size,
+            max_free,
+        )  # as many are out as connections read; so many are kept free
         self.free: list[bytearray] = []
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffer: bytearray) -> None:
-        if len(self.free) < self.kept:
+    def release(self, buffer: bytearray) -> None:
+        if len(self.free) < self.max_free:
             self.free.append(buffer)
--- a/basalthook/transport/connection.py
+++ b/basalthook/transport/connection.py
@@ -11,16 +11,16 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from . import arrival
+from . import timestamps
 from .buffers import BufferPool
-from .descriptors import Descriptors
+from .descriptors import DescriptorBudget
 
-ENDED = "ended by the peer"  # in order: what a peer sends till then is all it had to say
-RESET = struct.pack("ii", 1, 0)  # linger, for no time
-PEER_ENDED = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere only what poll(2) tells unasked
+PEER_CLOSED = "ended by the peer"  # in order: what a peer sends till then is all it had to say
+LINGER_RESET = struct.pack("ii", 1, 0)  # linger, for no time
+PEER_CLOSED_EVENT = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere only what poll(2) tells unasked
 # connect(2): nothing was sent, and nothing is known of the peer
-OF_THIS_MACHINE = {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE}
-READS_A_TURN = 4  # buffers that one connection may fill in a turn of the loop, before others come
+LOCAL_ERRORS = {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE}
+MAX_READS_PER_ITERATION = 4  # buffers that one connection may fill in a turn of the loop, before others come
 
 
 class Stage(IntEnum):
@@ -33,7 +33,7 @@
     ANSWERING = 4
 
 
-class Fault(NamedTuple):
+class ConnectionFailure(NamedTuple):
     stage: Stage
     reason: str
 
@@ -61,107 +61,109 @@
         "buffers",
         "descriptors",
         "closed",
-        "took",
-        "ended",
-        "up",
+        "on_data",
+        "on_close",
+        "on_connected",
         "stream",
-        "standing",
+        "reading",
         "paused",
-        "begun",
-        "noticed_late",
+        "connect_started",
+        "connect_notice_delay",
     )
 
-    def __init__(self, sock: socket.socket, buffers: BufferPool, descriptors: Descriptors) -> None:
+    def __init__(self, sock: socket.socket, buffers: BufferPool, descriptors: DescriptorBudget) -> None:
         self.buffers, self.descriptors = buffers, descriptors
-        self.closed = self.standing = self.paused = False
-        self.took = self.ended = self.up = None
-        self.begun = self.noticed_late = 0
+        self.closed = self.reading = self.paused = False
+        self.on_data = self.on_close = self.on_connected = None
+        self.connect_started = self.connect_notice_delay = 0
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        arrival.stamp(sock)
+        timestamps.enable(sock)
         self.stream = Stream(sock, self)
-        descriptors.take()
+        descriptors.acquire()
 
     @classmethod
-    def towards(cls, address: tuple[str, int], buffers: BufferPool, descriptors: Descriptors):
+    def for_address(cls, address: tuple[str, int], buffers: BufferPool, descriptors: DescriptorBudget):
         """One not yet up; a Fault where this machine gives no socket."""
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
         except OSError as fault:
-            return Fault(Stage.UNTRIED, str(fault))
-        descriptors.outgoing.add(sock.fileno())
+            return ConnectionFailure(Stage.UNTRIED, str(fault))
+        descriptors.outgoing_fds.add(sock.fileno())
         return cls(sock, buffers, descriptors)
 
-    def connect(self, address: tuple[str, int], up) -> None:
+    def connect(self, address: tuple[str, int], on_connected) -> None:
         """`up(None)` once it is up, `up(fault)` if it is not to be; not before this returns."""
-        self.up, self.begun = up, time.monotonic_ns()
+        self.on_connected, self.connect_started = on_connected, time.monotonic_ns()
         self.stream.connect(address).add_done_callback(self._connected)
 
     def _connected(self, future) -> None:
         if self.closed:
             future.cancelled() or future.exception()
             return
-        up, self.up = self.up, None
+        on_connected, self.on_connected = self.on_connected, None
         if future.cancelled() or future.exception() is not None:
             error = self.stream.error or future.exception()
             self.close()
             # reset, not refused: the peer's machine had taken it already
             stage = Stage.WRITING if isinstance(error, ConnectionResetError) else Stage.CONNECTING
-            if getattr(error, "errno", None) in OF_THIS_MACHINE:
+            if getattr(error, "errno", None) in LOCAL_ERRORS:
                 stage = Stage.UNTRIED
-            return up(Fault(stage, str(error)))
-        took = arrival.connecting(self.stream.socket)
-        if took is not None:
-            self.noticed_late = max(0, time.monotonic_ns() - self.begun - took)
-        up(None)
+            return on_connected(ConnectionFailure(stage, str(error)))
+        handshake_ns = timestamps.handshake_time(self.stream.socket)
+        if handshake_ns is not None:
+            self.connect_notice_delay = max(0, time.monotonic_ns() - self.connect_started - handshake_ns)
+        on_connected(None)
 
-    def give_up(self, why: str) -> None:
+    def connect_timed_out(self, reason: str) -> None:
         """It should be up by now; if it is, or was turned down, the loop is about to say so.
 
         Guards against taking our own lateness for a peer that does not answer.
         """
-        if not self.closed and not arrival.settled(self.stream.socket):
-            self.fail(why)
+        if not self.closed and not timestamps.connect_finished(self.stream.socket):
+            self.fail(reason)
 
-    def follow(self, took, ended) -> None:
+    def start_reading(self, on_data, on_close) -> None:
         """From here on tell these; what is there already is told before this returns."""
-        self.took, self.ended = took, ended
-        if self._broken():
+        self.on_data, self.on_close = on_data, on_close
+        if self._check_closed():
             return
         if self.paused and not self.closed:
             self.paused, loop = False, self.stream.io_loop
             loop.update_handler(self.stream.socket, loop.READ | loop.ERROR)
-        if not self.standing and not self.closed:
-            self.standing = True
-            self.stream.set_close_callback(self._lost)
+        if not self.reading and not self.closed:
+            self.reading = True
+            self.stream.set_close_callback(self._stream_closed)
             try:
                 self.stream.read_bytes(1, partial=True)
             except StreamClosedError:
-                self._lost()
+                self._stream_closed()
 
     def receive(self) -> None:
         """Read what the kernel has, a few buffers at most: the loop comes back for the rest."""
-        for _ in range(READS_A_TURN):
-            if self.closed or self.took is None:
+        for _ in range(MAX_READS_PER_ITERATION):
+            if self.closed or self.on_data is None:
                 return
-            buffer = self.buffers.take()
+            buffer = self.buffers.acquire()
             try:
                 try:
-                    count, ancillary, _, _ = self.stream.socket.recvmsg_into([buffer], arrival.SPACE)
+                    count, ancillary, _, _ = self.stream.socket.recvmsg_into(
+                        [buffer], timestamps.ANCILLARY_BYTES
+                    )
                 except BlockingIOError:
                     return
                 except OSError as fault:
                     return self.fail(str(fault))
                 if count:
                     with memoryview(buffer) as whole, whole[:count] as part:
-                        self.took(part, arrival.late(ancillary) if ancillary else 0)
+                        self.on_data(part, timestamps.receive_delay(ancillary) if ancillary else 0)
             finally:
-                self.buffers.give(buffer)
+                self.buffers.release(buffer)
             if not count:
-                return self.fail(ENDED)
+                return self.fail(PEER_CLOSED)
             if count < self.buffers.size:
                 return
 
-    def write(self, parts: tuple[bytes, ...], wrote=None) -> bool:
+    def write(self, parts: tuple[bytes, ...], on_written=None) -> bool:
         """Whether the last byte is with the kernel; where not, `wrote()` is called once it is, if ever.
 
         All parts go in one call; what the kernel does not take at once is kept by reference, and nothing may
@@ -180,37 +182,39 @@
             except OSError as fault:
                 self.fail(str(fault))
                 return False
-        left = []
+        unsent = []
         for part in parts:
             if sent < len(part):
-                left.append(memoryview(part)[sent:])
+                unsent.append(memoryview(part)[sent:])
             sent = max(0, sent - len(part))
-        for part in left:
-            if not self._broken():  # under the part before
+        for part in unsent:
+            if not self._check_closed():  # under the part before
                 written = self.stream.write(part)
-        if self._broken():
+        if self._check_closed():
             return False
-        if left and self.paused:
-            self.pause()  # the stream looks for bytes again when it waits to write
-        if left and wrote is not None:
-            written.add_done_callback(lambda done: None if done.cancelled() or done.exception() else wrote())
-        return not left
-
-    def pause(self) -> None:
+        if unsent and self.paused:
+            self.pause_reading()  # the stream looks for bytes again when it waits to write
+        if unsent and on_written is not None:
+            written.add_done_callback(
+                lambda done: None if done.cancelled() or done.exception() else on_written()
+            )
+        return not unsent
+
+    def pause_reading(self) -> None:
         """Read no more, so that the peer's writing comes to a halt."""
-        self.took, self.paused, loop = None, True, self.stream.io_loop
-        if not self._broken():
+        self.on_data, self.paused, loop = None, True, self.stream.io_loop
+        if not self._check_closed():
             loop.update_handler(self.stream.socket, loop.ERROR | (loop.WRITE if self.stream.writing() else 0))
 
-    def peer_ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the peer has ended its side or all, seen also behind bytes that nobody has read yet."""
         if self.closed or self.stream.closed():
             return True
-        looked_for = select.poll()
-        looked_for.register(self.stream.socket, PEER_ENDED)
-        return bool(looked_for.poll(0))
+        poller = select.poll()
+        poller.register(self.stream.socket, PEER_CLOSED_EVENT)
+        return bool(poller.poll(0))
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Guards against using a kept connection that the peer has ended or written to unasked."""
         if self.closed or self.stream.closed():
             return False
@@ -222,43 +226,43 @@
         except OSError:
             return False
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         """It ended, or was given up: whoever follows it, or waits for it to come up, is told."""
-        ended, up = self.ended, self.up
+        on_close, on_connected = self.on_close, self.on_connected
         if not self.closed:
             self.close()
-            if up is not None:
-                up(Fault(Stage.CONNECTING, why))
-            elif ended is not None:
-                ended(Fault(Stage.WRITTEN, why))
+            if on_connected is not None:
+                on_connected(ConnectionFailure(Stage.CONNECTING, reason))
+            elif on_close is not None:
+                on_close(ConnectionFailure(Stage.WRITTEN, reason))
 
-    def reset(self) -> None:
+    def reset_on_close(self) -> None:
         """The end that follows is one that no peer takes for the end of a whole message."""
         with suppress(OSError):
-            self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     def close(self) -> None:
         """Nobody is told of anything after this."""
         if self.closed:
             return
         self.closed = True
-        self.took = self.ended = self.up = None
-        self.descriptors.give()
-        self.descriptors.outgoing.discard(self.stream.socket.fileno() if self.stream.socket else -1)
+        self.on_data = self.on_close = self.on_connected = None
+        self.descriptors.release()
+        self.descriptors.outgoing_fds.discard(self.stream.socket.fileno() if self.stream.socket else -1)
         self.stream.set_close_callback(None)
         self.stream.close()
         self.stream.connection = None  # no circle is left for the collector
 
-    def _broken(self) -> bool:
+    def _check_closed(self) -> bool:
         """Whether it is over; the stream may have found that out in a call of ours, before it says so."""
         if not self.closed and self.stream.closed():
-            self._lost()
+            self._stream_closed()
         return self.closed
 
-    def _lost(self) -> None:
-        self.fail(str(self.stream.error or ENDED))
+    def _stream_closed(self) -> None:
+        self.fail(str(self.stream.error or PEER_CLOSED))
 
-    def end_sending(self) -> None:
+    def shutdown_write(self) -> None:
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
         except OSError as fault:
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -7,19 +7,19 @@
 
 from tornado.netutil import bind_sockets
 
-from . import arrival
+from . import timestamps
 
 BACKLOG = 1024
-ACCEPTS_A_TURN = 128  # connections taken in a turn of the loop, before others come
-FAILURES_A_TURN = 4  # in a row, before the backlog is left alone for a while
-LOOK_AGAIN = 0.01  # seconds until the next look at the backlog, where one could not be taken ...
-LOOK_AGAIN_MOST = 0.2  # ... doubled up to this while it goes on
-TRY_AGAIN = 0.05  # seconds between two tries to listen, or at the end of all
-LISTEN_TRIES = 40
-CLOSE_TRIES = 64  # failures in a row at the last look at the backlog
-CLOSE_WAIT = 0.001  # seconds after each
+MAX_ACCEPTS_PER_ITERATION = 128  # connections taken in a turn of the loop, before others come
+MAX_FAILURES_PER_ITERATION = 4  # in a row, before the backlog is left alone for a while
+RETRY_DELAY_S = 0.01  # seconds until the next look at the backlog, where one could not be taken ...
+MAX_RETRY_DELAY_S = 0.2  # ... doubled up to this while it goes on
+BIND_RETRY_DELAY_S = 0.05  # seconds between two tries to listen, or at the end of all
+BIND_ATTEMPTS = 40
+MAX_CLOSE_FAILURES = 64  # failures in a row at the last look at the backlog
+CLOSE_RETRY_DELAY_S = 0.001  # seconds after each
 # accept(2): what is wrong with the connection that would have been taken; the next one may be sound
-OF_ONE = {
+CONNECTION_ERRORS = {
     errno.ECONNABORTED,
     errno.EPROTO,
     errno.ENOPROTOOPT,
@@ -34,22 +34,22 @@
     errno.ECONNRESET,
 }
 # what may pass by itself: another process may still hold the address for a moment
-MOMENTARY = {errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE, errno.EAGAIN}
+TRANSIENT_ERRORS = {errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE, errno.EAGAIN}
 
 
-def listening(address: tuple[str, int]) -> socket.socket:
+def open_listening_socket(address: tuple[str, int]) -> socket.socket:
     """A socket that listens there; OSError, after two seconds where it might have passed.
 
     Blocks: it is called before anything else runs.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    for tries_left in reversed(range(LISTEN_TRIES)):
+    for attempts_left in reversed(range(BIND_ATTEMPTS)):
         try:
             return bind_sockets(address[1], address[0], family, BACKLOG)[0]  # SO_REUSEADDR is set there
-        except OSError as fault:
-            if fault.errno not in MOMENTARY or not tries_left:
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS or not attempts_left:
                 raise
-            time.sleep(TRY_AGAIN)
+            time.sleep(BIND_RETRY_DELAY_S)
     raise AssertionError("the last try returns or raises")
 
 
@@ -59,68 +59,73 @@
     def __init__(
         self,
         address: tuple[str, int],
-        take,
+        on_accept,
         inherited: socket.socket | None = None,
         log=lambda event, **fields: None,
     ) -> None:
         """`inherited`: a socket that listens there already, and goes on doing so when this process ends."""
         self.inherited, self.log = inherited is not None, log
-        self.socket = inherited if self.inherited else listening(address)
-        arrival.stamp(self.socket)
-        self.address, self.take = self.socket.getsockname()[:2], take
-        self.opened = self.paused = False
+        self.socket = inherited if self.inherited else open_listening_socket(address)
+        timestamps.enable(self.socket)
+        self.address, self.on_accept = self.socket.getsockname()[:2], on_accept
+        self.accepting = self.paused = False
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.wait, self.failed = LOOK_AGAIN, 0  # until the next look; failures since one was taken
+        self.retry_delay, self.failures = (
+            RETRY_DELAY_S,
+            0,
+        )  # until the next look; failures since one was taken
 
     def open(self) -> None:
-        self.opened, self.loop = True, asyncio.get_running_loop()
-        self.loop.add_reader(self.socket, self.ready)
+        self.accepting, self.loop = True, asyncio.get_running_loop()
+        self.loop.add_reader(self.socket, self._accept_ready)
 
-    def ready(self) -> None:
-        for _ in range(ACCEPTS_A_TURN):
+    def _accept_ready(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _ = self.socket.accept()
             except BlockingIOError:
                 return
-            except OSError as fault:
-                self.failed += 1
-                if fault.errno in OF_ONE or self.failed % FAILURES_A_TURN:
+            except OSError as error:
+                self.failures += 1
+                if error.errno in CONNECTION_ERRORS or self.failures % MAX_FAILURES_PER_ITERATION:
                     continue
-                return self.halt(str(fault))
-            self.failed, self.wait = 0, LOOK_AGAIN
-            if not self.take(sock):
-                return self.shut(LOOK_AGAIN)  # guards against a loop that spins on a backlog it can't empty
-            if not self.opened:
+                return self._back_off(str(error))
+            self.failures, self.retry_delay = 0, RETRY_DELAY_S
+            if not self.on_accept(sock):
+                return self._pause_for(
+                    RETRY_DELAY_S
+                )  # guards against a loop that spins on a backlog it can't empty
+            if not self.accepting:
                 return
 
-    def halt(self, reason: str) -> None:
+    def _back_off(self, reason: str) -> None:
         """Nothing can be taken now: not looked at again at once, which would take up a core."""
-        self.log("accept failed", reason=reason, failed=self.failed, again_ms=int(self.wait * 1000))
-        self.shut(self.wait)
-        self.wait = min(LOOK_AGAIN_MOST, 2 * self.wait)
+        self.log("accept failed", reason=reason, failed=self.failures, again_ms=int(self.retry_delay * 1000))
+        self._pause_for(self.retry_delay)
+        self.retry_delay = min(MAX_RETRY_DELAY_S, 2 * self.retry_delay)
 
-    def shut(self, seconds: float) -> None:
+    def _pause_for(self, seconds: float) -> None:
         """Take none for so long."""
-        if self.opened:
-            self.stop()
-            self.loop.call_later(seconds, self.open_again)
+        if self.accepting:
+            self._stop_accepting()
+            self.loop.call_later(seconds, self._reopen)
 
-    def stop(self) -> None:
-        self.opened = False
+    def _stop_accepting(self) -> None:
+        self.accepting = False
         self.loop.remove_reader(self.socket)
 
     def pause(self) -> None:
         """Take no more for now; what waits is for whoever else listens here, or for later."""
         self.paused = True
-        if self.opened:
-            self.stop()
+        if self.accepting:
+            self._stop_accepting()
 
     def resume(self) -> None:
         self.paused = False
-        self.open_again()
+        self._reopen()
 
-    def open_again(self) -> None:
-        if not self.paused and not self.opened and self.socket.fileno() >= 0:
+    def _reopen(self) -> None:
+        if not self.paused and not self.accepting and self.socket.fileno() >= 0:
             self.open()
 
     def close(self) -> None:
@@ -128,16 +133,16 @@
         socket it is left to the next process."""
         self.pause()
         failed = 0
-        while not self.inherited and self.socket.fileno() >= 0 and failed < CLOSE_TRIES:
+        while not self.inherited and self.socket.fileno() >= 0 and failed < MAX_CLOSE_FAILURES:
             try:
                 sock, _ = self.socket.accept()
             except BlockingIOError:
                 break
             except OSError:  # of a moment, or of one connection: others may wait behind it
                 failed += 1
-                time.sleep(CLOSE_WAIT)
+                time.sleep(CLOSE_RETRY_DELAY_S)
                 continue
             failed = 0
             sock.setblocking(False)
-            self.take(sock)  # the reserve is for this: nobody comes after them
+            self.on_accept(sock)  # the reserve is for this: nobody comes after them
         self.socket.close()
--- a/basalthook/transport/timers.py
+++ b/basalthook/transport/timers.py
@@ -3,7 +3,7 @@
 import asyncio
 from heapq import heapify, heappop, heappush
 
-COMPACT_FROM = 256  # cancelled ones are swept out once there are so many, and more than half of all
+COMPACT_THRESHOLD = 256  # cancelled ones are swept out once there are so many, and more than half of all
 
 
 class Timers:
@@ -12,22 +12,22 @@
     Emptied as they fall due; cancelled ones as their turn comes, or once they are more than half.
     """
 
-    def __init__(self, now, second: int, call_later=None) -> None:
+    def __init__(self, now, ticks_per_second: int, call_later=None) -> None:
         """`call_later(seconds, call)` gives what can be cancelled; by default the running loop's."""
-        self.now, self.second = now, second
-        self.call_later = call_later or (lambda *given: asyncio.get_running_loop().call_later(*given))
+        self.now, self.ticks_per_second = now, ticks_per_second
+        self.call_later = call_later or (lambda *args: asyncio.get_running_loop().call_later(*args))
         self.heap: list[list] = []  # due, order set, call (None: cancelled), what it is given
-        self.count = self.cancelled = 0
-        self.alarm: asyncio.TimerHandle | None = None
-        self.armed = 0  # for when, while there is an alarm
+        self.sequence = self.cancelled = 0
+        self.wakeup_handle: asyncio.TimerHandle | None = None
+        self.wakeup_at = 0  # for when, while there is an alarm
 
-    def set(self, delay: int, call, *given) -> list:
+    def set(self, delay: int, callback, *args) -> list:
         """Call it that many ticks from now; what comes back can be cancelled."""
-        self.count += 1
-        entry = [self.now() + delay, self.count, call, given]
+        self.sequence += 1
+        entry = [self.now() + delay, self.sequence, callback, args]
         heappush(self.heap, entry)
-        if self.alarm is None or entry[0] < self.armed:
-            self._arm(entry[0])
+        if self.wakeup_handle is None or entry[0] < self.wakeup_at:
+            self._schedule_wakeup(entry[0])
         return entry
 
     def cancel(self, entry: list | None) -> None:
@@ -35,8 +35,8 @@
         if entry is not None and entry[2] is not None:
             entry[2], entry[3] = None, ()
             self.cancelled += 1
-            if self.cancelled > COMPACT_FROM and self.cancelled * 2 > len(self.heap):
-                self.heap = [kept for kept in self.heap if kept[2] is not None]
+            if self.cancelled > COMPACT_THRESHOLD and self.cancelled * 2 > len(self.heap):
+                self.heap = [entry for entry in self.heap if entry[2] is not None]
                 heapify(self.heap)
                 self.cancelled = 0
 
@@ -45,31 +45,31 @@
         now = self.now() - overdue
         while self.heap and (self.heap[0][0] <= now or self.heap[0][2] is None):
             entry = heappop(self.heap)
-            _, _, call, given = entry
-            if call is None:
+            _, _, callback, args = entry
+            if callback is None:
                 self.cancelled -= 1
             else:
                 entry[2] = None
-                call(*given)
+                callback(*args)
 
     def close(self) -> None:
-        if self.alarm is not None:
-            self.alarm.cancel()
+        if self.wakeup_handle is not None:
+            self.wakeup_handle.cancel()
         self.heap.clear()
 
-    def _arm(self, due: int) -> None:
-        if self.alarm is not None:
-            self.alarm.cancel()
-        self.armed = due
-        wait = max(0.0, (due - self.now()) / self.second)
-        self.alarm = self.call_later(wait, self._ring)
+    def _schedule_wakeup(self, due: int) -> None:
+        if self.wakeup_handle is not None:
+            self.wakeup_handle.cancel()
+        self.wakeup_at = due
+        wait = max(0.0, (due - self.now()) / self.ticks_per_second)
+        self.wakeup_handle = self.call_later(wait, self._on_wakeup)
 
-    def _ring(self) -> None:
-        self.alarm = None
+    def _on_wakeup(self) -> None:
+        self.wakeup_handle = None
         try:
             self.run()
         finally:
             # guards against an alarm that what ran just now has set for later than others are due: these
             # then waited for it, and answers came up to half a second after their hard limit
-            if self.heap and (self.alarm is None or self.heap[0][0] < self.armed):
-                self._arm(self.heap[0][0])
+            if self.heap and (self.wakeup_handle is None or self.heap[0][0] < self.wakeup_at):
+                self._schedule_wakeup(self.heap[0][0])
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -26,9 +26,9 @@
 from basalthook.protocol import application, hosts, http1
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
-from basalthook.transport.descriptors import Descriptors
+from basalthook.transport.descriptors import DescriptorBudget
+from basalthook.transport.event_loop import TimedSelector, run
 from basalthook.transport.listener import Listener
-from basalthook.transport.turns import Turns, run
 
 SECONDS = 1.0
 
@@ -61,37 +61,39 @@
 class Relay:
     """A client's connection and its host's; with `parsed`, whole messages go on as the program words them."""
 
-    def __init__(self, sock, address, buffers: BufferPool, descriptors: Descriptors, parsed: bool) -> None:
+    def __init__(
+        self, sock, address, buffers: BufferPool, descriptors: DescriptorBudget, parsed: bool
+    ) -> None:
         self.client = Connection(sock, buffers, descriptors)
-        self.host = Connection.towards(address, buffers, descriptors)
-        self.asks = http1.Parser(False, wanted=application.WANTED)
-        self.answers = http1.Parser(True, 2**20, wanted=hosts.WANTED)
+        self.host = Connection.for_address(address, buffers, descriptors)
+        self.asks = http1.Parser(False, field_names=application.PARSED_FIELDS)
+        self.answers = http1.Parser(True, 2**20, field_names=hosts.PARSED_FIELDS)
         self.parsed = parsed
         self.host.connect(address, self.up)
 
     def up(self, fault) -> None:
         if fault is None:
-            self.host.follow(self.answered, lambda _: self.client.close())
-            self.client.follow(self.asked, lambda _: self.host.close())
+            self.host.start_reading(self.answered, lambda _: self.client.close())
+            self.client.start_reading(self.asked, lambda _: self.host.close())
 
     def asked(self, part, late: int) -> None:
         if not self.parsed:
             self.host.write((bytes(part),))
             return
         self.asks.feed(part)
-        if self.asks.found is not None:
-            found = application.asked(self.asks.found, {"read": 0, "write": 1})
-            self.host.write(hosts.hop(found.message, SECONDS))
-            self.asks.again()
+        if self.asks.result is not None:
+            found = application.parse_transaction(self.asks.result, {"read": 0, "write": 1})
+            self.host.write(hosts.attempt_request(found.message, SECONDS))
+            self.asks.next_message()
 
     def answered(self, part, late: int) -> None:
         if not self.parsed:
             self.client.write((bytes(part),))
             return
         self.answers.feed(part)
-        if self.answers.found is not None:
-            self.client.write(application.committed(self.answers.found, True))
-            self.answers.again()
+        if self.answers.result is not None:
+            self.client.write(application.committed_response(self.answers.result, True))
+            self.answers.next_message()
 
 
 class NextHost:
@@ -113,8 +115,8 @@
         return []
 
 
-async def main(layer: str, told: startup.StartUp, turns: Turns) -> None:
-    addresses = [line.address for line in told.known.lines]
+async def main(layer: str, told: startup.StartUp, turns: TimedSelector) -> None:
+    addresses = [line.address for line in told.known.records]
     if layer == "streams":
         server = Streams(addresses)
         listening = bind_sockets(0, "127.0.0.1")
@@ -125,7 +127,7 @@
         service.owner.proxy = NextHost()
         return await service.run()
     else:
-        buffers, descriptors, hosts_at = BufferPool(16 * 1024, 128), Descriptors(4096), cycle(addresses)
+        buffers, descriptors, hosts_at = BufferPool(16 * 1024, 128), DescriptorBudget(4096), cycle(addresses)
 
         def take(sock) -> bool:
             Relay(sock, next(hosts_at), buffers, descriptors, layer == "messages")
@@ -138,5 +140,5 @@
 
 
 if __name__ == "__main__":
-    own = Turns()
+    own = TimedSelector()
     run(main(sys.argv[1], startup.read(sys.argv[2], os.environ), own), own)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -52,14 +52,14 @@
         self.service.pool.close()
         for connection in list(self.service.clients.open):
             connection.close()
-        await asyncio.wait_for(self.until(lambda: not self.service.clients.descriptors.held), 5)
+        await asyncio.wait_for(self.until(lambda: not self.service.clients.descriptors.in_use), 5)
         self.service.timers.close()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
         self.assertEqual(self.unhandled, [])
 
     def settled(self, seconds):
         """How long a connection to a host rests between two hops."""
-        patch = unittest.mock.patch("basalthook.transport.hostpool.SETTLE", seconds)
+        patch = unittest.mock.patch("basalthook.transport.hostpool.REUSE_DELAY_S", seconds)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.bodies.room import Room
+from basalthook.bodies.memory import BodyMemory
 from basalthook.protocol.http1 import Message, Parser
 from tests.fake import OK, SILENT, SocketHost
 from tests.loopback import Loopback
@@ -85,7 +85,7 @@
         await asyncio.wait(
             [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
         )
-        with unittest.mock.patch("basalthook.bodies.relay.STALLED", 0.5):
+        with unittest.mock.patch("basalthook.bodies.forwarder.STALL_TIMEOUT_S", 0.5):
             (writer,) = (w for h in self.hosts for w in h.writers)
             first.writer.transport.pause_reading()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n" + b"x" * 50_000_000)
@@ -112,36 +112,36 @@
         got = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
         self.assertEqual(len(got), 7)  # one was refused
         self.assertEqual({hashlib.sha256(body).digest() for body in got}, {hashlib.sha256(LONG).digest()})
-        self.assertEqual(self.service.clients.room.held, 0)
+        self.assertEqual(self.service.clients.room.in_use, 0)
 
     async def test_bodies_wait_for_room_in_turn_and_who_gets_none_is_rolled_back(self):
         first, second = await self.play(SocketHost()), await self.caller()
-        self.service.clients.room.most = 4_000_000
+        self.service.clients.room.capacity = 4_000_000
 
         def begin(caller, n, count):
             caller.writer.write(HEAD % b"w%d" % n + SENT[:count])
 
         begin(first, 1, 100_000)
-        await self.until(lambda: self.service.clients.room.held)
+        await self.until(lambda: self.service.clients.room.in_use)
         begin(second, 2, len(SENT))
         await self.until(lambda: self.service.clients.room.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
             self.assertEqual((await caller.answer())[0], 200)
         begin(first, 3, 100_000)
-        await self.until(lambda: self.service.clients.room.held)
+        await self.until(lambda: self.service.clients.room.in_use)
         with unittest.mock.patch("basalthook.routing.clients.NO_ROOM", 0.02):
             begin(second, 4, 100_000)
             self.assertEqual((await second.answer())[0], 503)
         await first.stop()
-        await self.until(lambda: not self.service.clients.room.held)
+        await self.until(lambda: not self.service.clients.room.in_use)
 
     async def test_memory_of_a_body_that_the_door_turns_away_is_free_again(self):
         caller = await self.play(SocketHost())
         with unittest.mock.patch.object(self.service.clients.door, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
             self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.service.clients.room.held, len(self.service.clients.open)), (0, 1))
+        self.assertEqual((self.service.clients.room.in_use, len(self.service.clients.open)), (0, 1))
 
     async def test_a_body_that_comes_slowly_is_a_good_client_and_one_that_stops_is_not(self):
         with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.2):
@@ -153,7 +153,7 @@
             self.assertEqual((await caller.answer())[0], 200)
             caller.writer.write(HEAD % b"s2" + SENT[:200_000])
             self.assertEqual((await caller.answer())[0], 408)
-        self.assertEqual(self.service.clients.room.held, 0)
+        self.assertEqual(self.service.clients.room.in_use, 0)
 
 
 class LongBodies(unittest.TestCase):
@@ -163,30 +163,32 @@
         head = b"Transfer-Encoding: chunked\r\n\r\n" if chunked else b"Content-Length: %d\r\n\r\n" % size
         text = b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (body[:7], body[7:90], body[90:]) if p)
         whole = b"HTTP/1.1 200 OK\r\n" + head + (text + b"0\r\n\r\n" if chunked else body)
-        parser, came, at = Parser(True, body_most=50, long=True), bytearray(), 0
+        parser, came, at = Parser(True, max_body=50, streaming=True), bytearray(), 0
         for cut in [*cuts, len(whole)]:
             parser.feed(whole[at : at + cut])
             at += cut
-            if parser.begun is not None:
+            if parser.streamed_head is not None:
                 came += parser.take_body()
-        self.assertIsInstance(parser.found, Message)
-        self.assertEqual((parser.begun is not None, bytes(came) + parser.found.body), (size > 50, body))
+        self.assertIsInstance(parser.result, Message)
+        self.assertEqual(
+            (parser.streamed_head is not None, bytes(came) + parser.result.body), (size > 50, body)
+        )
 
 
 class Rooms(unittest.TestCase):
     @given(st.lists(st.integers(1, 60), max_size=20), st.randoms(use_true_random=False))
     def test_no_more_is_held_than_there_is_and_all_get_theirs_in_turn(self, wants, chance):
-        room, held, served = Room(60), [], []
+        room, held, served = BodyMemory(60), [], []
         for n, want in enumerate(wants):
-            if room.take(want):
+            if room.try_acquire(want):
                 held.append(want)
                 served.append(n)
             else:
-                room.wait(n, want, lambda n=n, want=want: (held.append(want), served.append(n)))
-            self.assertEqual(room.held, sum(held))
-            self.assertLessEqual(room.held, 60)
+                room.enqueue(n, want, lambda n=n, want=want: (held.append(want), served.append(n)))
+            self.assertEqual(room.in_use, sum(held))
+            self.assertLessEqual(room.in_use, 60)
             if held and chance.random() < 0.5:
-                room.give(held.pop(chance.randrange(len(held))))
+                room.release(held.pop(chance.randrange(len(held))))
         while held:
-            room.give(held.pop())
-        self.assertEqual((served, room.held), (list(range(len(wants))), 0))
+            room.release(held.pop())
+        self.assertEqual((served, room.in_use), (list(range(len(wants))), 0))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.console.calls import Call
+from basalthook.console.admin_api import AdminRequest
 from basalthook.policy import interface as i
 from basalthook.routing.orders import Orders
 from tests.fake import OK, SILENT, Caller, SocketHost
@@ -68,12 +68,12 @@
         slow = [await Caller().to(self.service.console.address) for _ in range(20)]
         for each in slow:
             each.writer.write(b"PUT /-/dr")
-        await self.until(lambda: len(self.service.callers.open) == 12)
+        await self.until(lambda: len(self.service.callers.connections) == 12)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
         for each in slow:
             self.assertEqual(await asyncio.wait_for(each.reader.read(), 5), b"")
             await each.stop()
-        await asyncio.wait_for(self.until(lambda: not self.service.callers.descriptors.held), 5)
+        await asyncio.wait_for(self.until(lambda: not self.service.callers.descriptors.in_use), 5)
 
     async def test_a_host_taken_out_gets_nothing_until_it_is_put_back_whatever_the_list_says(self):
         caller = await self.play(SocketHost(), SocketHost())
@@ -115,16 +115,16 @@
 
     async def test_nothing_leaves_for_a_host_taken_out_while_its_connection_came_up(self):
         caller = await self.play(SocketHost())
-        fresh = self.service.pool.fresh
+        fresh = self.service.pool.open_connection
 
         def out_meanwhile(address, up):
             def come(fault):
-                self.service.staff.carry_out(Call("disable", "s-0"))
+                self.service.staff.carry_out(AdminRequest("disable", "s-0"))
                 up(fault)
 
             return fresh(address, come)
 
-        self.service.pool.fresh = out_meanwhile
+        self.service.pool.open_connection = out_meanwhile
         caller.ask("submit", timeout="0.3")
         self.assertEqual((await caller.answer())[0], 503)
         self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", i.UNSENT)], 0))
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -31,7 +31,7 @@
         """The first attempt is reset under its request; the second one's connection comes up late."""
         profile = {**SCAN, "repeat_window_ns": int(window * 1e9)}
         caller = await self.play(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
-        fresh, connecting = self.service.pool.fresh, asyncio.Event()
+        fresh, connecting = self.service.pool.open_connection, asyncio.Event()
 
         def late(address, up):
             if not self.hosts[0].got.qsize() + self.hosts[1].got.qsize():
@@ -39,7 +39,7 @@
             connecting.set()
             return fresh(address, lambda fault: asyncio.get_running_loop().call_later(LATE, up, fault))
 
-        self.service.pool.fresh = late
+        self.service.pool.open_connection = late
         caller.ask("scan")
         await connecting.wait()
         meanwhile()
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -108,9 +108,9 @@
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(("up", "draining", "removed")))))
     def test_of_a_host_named_twice_the_line_by_which_it_leaves_counts(self, lines):
         servers = [{"id": name, "addr": "127.0.0.1:9", "state": state} for name, state in lines]
-        found = catalogue.listing({"version": 3, "full": True, "servers": servers})
+        found = catalogue.parse_host_list({"version": 3, "full": True, "servers": servers})
         self.assertEqual(
-            {line.id: line.ready for line in found.lines},
+            {line.id: line.ready for line in found.records},
             {name: all(state == "up" for other, state in lines if other == name) for name, _ in lines},
         )
 
@@ -179,7 +179,7 @@
         await self.play(SocketHost(), SocketHost())
         await self.discovery.got.get()
         moved = await self.started(SocketDiscovery())
-        self.service.watch.move(catalogue.address(moved.address))
+        self.service.watch.move(catalogue.parse_address(moved.address))
         self.assertEqual(await moved.got.get(), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"))  # full: false
         self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -14,13 +14,13 @@
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
 from basalthook.recovery.door import EASE, LOST, Door
-from basalthook.transport import arrival
+from basalthook.transport import timestamps
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
 from basalthook.transport.connection import Stage as Reached
-from basalthook.transport.descriptors import Descriptors
-from basalthook.transport.timers import COMPACT_FROM, Timers
-from basalthook.transport.turns import Turns, run
+from basalthook.transport.descriptors import DescriptorBudget
+from basalthook.transport.event_loop import TimedSelector, run
+from basalthook.transport.timers import COMPACT_THRESHOLD, Timers
 from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
 
 GOAL = 1_500
@@ -121,25 +121,25 @@
 
         timers = Timers(clock, 10_000)
         kept = [timers.set(delay, rung.append, delay) for delay in (90, 30, 60)]
-        dropped = [timers.set(20, rung.append, "cancelled") for _ in range(2 * COMPACT_FROM)]
+        dropped = [timers.set(20, rung.append, "cancelled") for _ in range(2 * COMPACT_THRESHOLD)]
         for entry in dropped + dropped:
             timers.cancel(entry)
-        self.assertLessEqual(len(timers.heap), COMPACT_FROM + len(kept))
+        self.assertLessEqual(len(timers.heap), COMPACT_THRESHOLD + len(kept))
         standing.clear()
         await asyncio.sleep(0.02)
         self.assertEqual(rung, [30, 60, 90])
         timers.cancel(kept[0])
-        self.assertEqual((timers.heap, timers.cancelled, timers.alarm), ([], 0, None))
+        self.assertEqual((timers.heap, timers.cancelled, timers.wakeup_handle), ([], 0, None))
 
     async def test_bytes_that_lay_unread_tell_for_how_long(self):
-        if arrival.OPTION is None:
+        if timestamps.TIMESTAMP_OPTION is None:
             self.skipTest("this system stamps nothing")
         with socket.create_server(("127.0.0.1", 0)) as server:
-            arrival.stamp(server)
+            timestamps.enable(server)
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        connection, told = Connection(ours, BufferPool(64, 8), Descriptors(64)), []
-        connection.follow(lambda part, late: told.append(late), None)
+        connection, told = Connection(ours, BufferPool(64, 8), DescriptorBudget(64)), []
+        connection.start_reading(lambda part, late: told.append(late), None)
         await asyncio.sleep(0.05)  # the system begins with its stamps a moment after it is asked
         for pause in (0, 0.05):
             theirs.send(b"x")
@@ -154,9 +154,12 @@
     async def test_a_connection_that_is_up_is_not_given_up(self):
         """The timer came before the loop had looked, and a sound host was banned for ten seconds."""
         with socket.create_server(("127.0.0.1", 0)) as server:
-            connection, up = Connection.towards(server.getsockname(), BufferPool(64, 8), Descriptors(64)), []
+            connection, up = (
+                Connection.for_address(server.getsockname(), BufferPool(64, 8), DescriptorBudget(64)),
+                [],
+            )
             connection.connect(server.getsockname(), up.append)
-            connection.give_up("not within 0.25 s")
+            connection.connect_timed_out("not within 0.25 s")
             self.assertFalse(connection.closed)
             while not up:
                 await asyncio.sleep(0)
@@ -166,9 +169,9 @@
     async def test_a_connection_that_was_refused_is_no_sound_one_to_a_late_timer(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
-        connection, up = Connection.towards(address, BufferPool(64, 8), Descriptors(64)), []
+        connection, up = Connection.for_address(address, BufferPool(64, 8), DescriptorBudget(64)), []
         connection.connect(address, up.append)
-        connection.give_up("not within 0.25 s")
+        connection.connect_timed_out("not within 0.25 s")
         while not up:
             await asyncio.sleep(0)
         self.assertEqual((up[0].stage, connection.closed), (Reached.CONNECTING, True))
@@ -181,11 +184,11 @@
         """The system begins to stamp a moment after the first socket that asks for it."""
         asks = socket.socket()
         self.addCleanup(asks.close)
-        arrival.stamp(asks)
+        timestamps.enable(asks)
         time.sleep(0.05)
 
     def play(self, story, *hosts, **told):
-        turns, log = Turns(), []
+        turns, log = TimedSelector(), []
 
         async def main():
             started = [await host.start() for host in hosts]
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,8 +6,8 @@
 import orjson
 
 from basalthook.policy import interface as i
-from basalthook.protocol import application, catalogue, hosts, news
-from basalthook.protocol.http1 import HEAD_MOST, Malformed, Message, Parser
+from basalthook.protocol import application, catalogue, hosts, peer_messages
+from basalthook.protocol.http1 import MAX_HEAD_BYTES, Message, Parser, Rejection
 
 POST = (
     b"POST /survey-submit/a?b=1 HTTP/1.1\r\nHost: svc\r\nRequest-Id: 7\r\nCookie: j=1; k=ab\r\n"
@@ -22,8 +22,8 @@
     parser = Parser(responses)
     parser.feed(data)
     if end:
-        parser.end()
-    return parser.found
+        parser.feed_eof()
+    return parser.result
 
 
 def answered(status, *fields, framing="Content-Length: 0"):
@@ -40,19 +40,19 @@
             for at in range(len(data)):
                 parser = Parser(responses)
                 parser.feed(data[:at])
-                self.assertIsNone(parser.found)
+                self.assertIsNone(parser.result)
                 parser.feed(data[at:])
-                self.assertEqual(parser.found, whole)
+                self.assertEqual(parser.result, whole)
             parser = Parser(responses)
             for at in range(len(data)):
                 parser.feed(data[at : at + 1])
-            self.assertEqual(parser.found, whole)
+            self.assertEqual(parser.result, whole)
 
     def test_a_short_head_behind_a_long_interim_one_is_seen(self):
         parser = Parser(True)
         parser.feed(b"HTTP/1.1 103 Early\r\nLink: " + b"x" * 300)
         parser.feed(b"\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual(parser.found.status, 200)
+        self.assertEqual(parser.result.status, 200)
         self.assertEqual(parse(b"HTTP/1.1 100 X\r\n\r\n" * 100, True).status, 400)  # without end
 
     def test_what_two_readers_could_read_differently_is_refused(self):
@@ -77,15 +77,15 @@
             (b"GET / HTTP/1.1\r\n\r\n", 400),
             (b"\x16\x03\x01\r\n\r\n", 400),
             (head("Content-Length: 65537"), 413),
-            (head("A: " + "a" * HEAD_MOST), 431),
-            (b"A" * (HEAD_MOST + 1), 431),
+            (head("A: " + "a" * MAX_HEAD_BYTES), 431),
+            (b"A" * (MAX_HEAD_BYTES + 1), 431),
             (head("Transfer-Encoding: chunked") + b"1\r\nab\r\n", 400),
             (head("Transfer-Encoding: chunked") + b"-1\r\n", 400),
             (head("Transfer-Encoding: chunked") + b"10001\r\n", 413),
             (head("Transfer-Encoding: chunked") + b"1" * 300, 400),
         ):
             found = parse(data)
-            self.assertIsInstance(found, Malformed, data[:60])
+            self.assertIsInstance(found, Rejection, data[:60])
             self.assertEqual(found.status, status, data[:60])
 
     def test_a_bare_line_end_is_refused_at_once(self):
@@ -94,7 +94,7 @@
                 parser = Parser(False)
                 parser.feed(data[:at])
                 parser.feed(data[at:])
-                self.assertEqual(parser.found.status, 400)
+                self.assertEqual(parser.result.status, 400)
 
     def test_random_bytes_do_no_harm(self):
         """No exception, no hang, no memory beyond the limits, alone or spliced into a sound message."""
@@ -102,17 +102,17 @@
         for n in range(3_000):
             noise, at = chance.randbytes(chance.randrange(1, 400)), chance.randrange(len(POST))
             for data in (noise, POST[:at] + noise + POST[at:], CHUNKED[:at] + noise[:3] + CHUNKED[at:]):
-                parser = Parser(bool(n % 2), body_most=1_000)
+                parser = Parser(bool(n % 2), max_body=1_000)
                 for cut in range(0, len(data), 37):
-                    if parser.found is None:
+                    if parser.result is None:
                         parser.feed(data[cut : cut + 37])
-                parser.end()
-                self.assertLess(len(parser.rest) + len(parser.body), HEAD_MOST + 2_000)
+                parser.feed_eof()
+                self.assertLess(len(parser.unparsed) + len(parser.body), MAX_HEAD_BYTES + 2_000)
 
     def test_bytes_after_a_message_stay(self):
         parser = Parser(False)
         parser.feed(POST + b"GET")
-        self.assertEqual((parser.found.body, bytes(parser.rest)), (b"hello", b"GET"))
+        self.assertEqual((parser.result.body, bytes(parser.unparsed)), (b"hello", b"GET"))
 
     def test_kept_open_only_as_both_versions_mean_it(self):
         for line, field, keep in (
@@ -121,11 +121,13 @@
             ("1.0", "X: y", False),
             ("1.0", "Connection: keep-alive", True),
         ):
-            self.assertEqual(parse(f"GET / HTTP/{line}\r\nHost: s\r\n{field}\r\n\r\n".encode()).keep, keep)
+            self.assertEqual(
+                parse(f"GET / HTTP/{line}\r\nHost: s\r\n{field}\r\n\r\n".encode()).keep_alive, keep
+            )
 
     def test_an_answer_without_a_length_ends_with_its_connection_and_is_marked(self):
         found = parse(b"HTTP/1.1 200 OK\r\n\r\npart", True, end=True)
-        self.assertEqual((found.body, found.delimited, found.keep), (b"part", False, False))
+        self.assertEqual((found.body, found.delimited, found.keep_alive), (b"part", False, False))
         self.assertIsNone(parse(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart", True, end=True))
         self.assertIsNone(parse(CHUNKED[:-2], True, end=True))
 
@@ -134,10 +136,10 @@
     PROFILES = {"parcel-view": 0, "survey-submit": 1}
 
     def test_a_transaction_is_read_from_header_path_and_cookie(self):
-        found = application.asked(parse(POST), self.PROFILES)
+        found = application.parse_transaction(parse(POST), self.PROFILES)
         self.assertEqual((found.id, found.profile, found.key, found.timeout), ("7", 1, "ab", 0.48))
         for text in (b"2", b"2.", b".3", b"0.30000000000000004"):
-            found = application.asked(parse(POST.replace(b"0.480", text)), self.PROFILES)
+            found = application.parse_transaction(parse(POST.replace(b"0.480", text)), self.PROFILES)
             self.assertEqual(found.timeout, float(text))
 
     def test_what_cannot_be_carried_is_turned_away(self):
@@ -156,24 +158,24 @@
             (b"Cookie", b"Request-Class: parcel-view\r\nCookie", 404),
             (b" /survey", b" http://s/survey", 400),
         ):
-            found = application.asked(parse(POST.replace(old, new)), self.PROFILES)
+            found = application.parse_transaction(parse(POST.replace(old, new)), self.PROFILES)
             self.assertEqual(getattr(found, "status", None), status, new)
 
     def test_a_hop_carries_method_path_body_and_id_unchanged_and_our_own_time(self):
-        sent = parse(b"".join(hosts.hop(parse(POST), 0.3)))
+        sent = parse(b"".join(hosts.attempt_request(parse(POST), 0.3)))
         self.assertEqual((sent.method, sent.target, sent.body), ("POST", "/survey-submit/a?b=1", b"hello"))
         self.assertEqual((sent.field("request-id"), sent.field("request-timeout")), ("7", "0.3000"))
         self.assertEqual((sent.field("x-own"), sent.field("connection")), (None, None))
 
     def test_a_commit_is_passed_on_unchanged_with_framing_of_its_own(self):
-        sent = parse(b"".join(application.committed(parse(CHUNKED, True), keep=False)), True)
-        self.assertEqual((sent.status, sent.body, sent.keep), (200, b"host!", False))
+        sent = parse(b"".join(application.committed_response(parse(CHUNKED, True), keep_alive=False)), True)
+        self.assertEqual((sent.status, sent.body, sent.keep_alive), (200, b"host!", False))
 
     def test_only_a_rollback_says_that_trying_again_is_harmless(self):
-        back = parse(application.rolled_back(0.25, True), True)
+        back = parse(application.rollback_response(0.25, True), True)
         self.assertEqual((back.status, back.field("retry-after")), (503, "0.250"))
         for late in (False, True):
-            self.assertNotIn(parse(application.abandoned(late, True), True).status, (200, 429, 503))
+            self.assertNotIn(parse(application.abandoned_response(late, True), True).status, (200, 429, 503))
 
 
 class Outcomes(unittest.TestCase):
@@ -191,12 +193,12 @@
             (answered(302), i.ERROR),
             (answered(999), i.ERROR),
         ):
-            self.assertEqual(hosts.outcome(found, True), outcome, found)
+            self.assertEqual(hosts.classify_response(found, True), outcome, found)
 
     def test_what_came_too_early_is_no_commit_and_an_end_in_order_ends_a_body(self):
         ended = parse(b"HTTP/1.1 200 OK\r\n\r\nall", True, end=True)
-        self.assertEqual((ended.body, hosts.outcome(ended, True)), (b"all", i.COMMITTED))
-        self.assertEqual(hosts.outcome(answered(200), False), i.ERROR)
+        self.assertEqual((ended.body, hosts.classify_response(ended, True)), (b"all", i.COMMITTED))
+        self.assertEqual(hosts.classify_response(answered(200), False), i.ERROR)
 
 
 class Catalogue(unittest.TestCase):
@@ -213,15 +215,15 @@
 
     def read(self, **changes):
         entry = {k: v for k, v in {**self.LINE, **changes}.items() if v != "left out"}
-        return catalogue.read(orjson.dumps({"version": 4, "full": False, "servers": [entry]}))
+        return catalogue.decode_host_list(orjson.dumps({"version": 4, "full": False, "servers": [entry]}))
 
     def test_a_line(self):
-        (line,) = self.read().lines
+        (line,) = self.read().records
         self.assertEqual(line, ("s-1", ("127.0.0.9", 8443), "a", 3, True, False, 1.5, 12_000_000, "m", False))
-        (line,) = self.read(cell=None, weight=None, started_ms=None).lines
+        (line,) = self.read(cell=None, weight=None, started_ms=None).records
         self.assertEqual(line[3:], (0, True, False, 1.0, 0, "m", False))
         self.assertEqual(
-            [self.read(state=s).lines[0][4:6] for s in ("draining", "removed")],
+            [self.read(state=s).records[0][4:6] for s in ("draining", "removed")],
             [(False, False), (False, True)],
         )
 
@@ -248,12 +250,14 @@
             b'{"full":true,"servers":[]}',
             b'{"version":1,"full":true,"servers":[3]}',
         ):
-            self.assertIsNone(catalogue.read(body), body)
+            self.assertIsNone(catalogue.decode_host_list(body), body)
 
 
 class News(unittest.TestCase):
     def test_there_and_back_and_what_is_not_ours_is_nothing(self):
         for what in (i.MET_FAULT, i.AT_FAULT):
-            self.assertEqual(news.read(news.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1))
+            self.assertEqual(
+                peer_messages.decode_hex(peer_messages.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1)
+            )
         for digits in (None, "", "0", "zz", "01", "00" * 7, "03" + "31" * 6, "01" * 8, "01" * 300):
-            self.assertIsNone(news.read(digits))
+            self.assertIsNone(peer_messages.decode_hex(digits))
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from basalthook.simwire.codec import Desk
+from basalthook.simwire.codec import BatchProcessor
 
 SETUP = {
     "allowed": {"cancelling": True, "max_hops": 4, "max_retry_after_ns": 2_000_000_000, "retry_after": True},
@@ -39,9 +39,9 @@
 
 class Wire(unittest.TestCase):
     def setUp(self):
-        self.desk = Desk()
+        self.processor = BatchProcessor()
         records = [{"host": "10.0.0.1:1", "area": "north", "block": 0, "status": "in_service"}]
-        self.desk.serve(
+        self.processor.process(
             batch(
                 10**9,
                 {"SPAWN": {"nonce64": 5, "setup": SETUP}},
@@ -52,7 +52,7 @@
         )
 
     def ask(self, *events, now=2 * 10**9):
-        reply = self.desk.serve(batch(now, *events))
+        reply = self.processor.process(batch(now, *events))
         return [action for part in reply["parts"] for action in part["decisions"]]
 
     def query(self, word="rq_a", left=300_050_000):
@@ -74,15 +74,15 @@
             }
         }
         self.assertEqual(self.ask(verdict), [])
-        seat = self.desk.seats["proxy_0"]
-        self.assertEqual((seat.words, seat.numbers, seat.proxy.txs), ({}, {}, {}))
+        instance = self.processor.instances["proxy_0"]
+        self.assertEqual((instance.transactions, instance.tx_numbers, instance.proxy.txs), ({}, {}, {}))
 
     def test_kill_drops_the_instance_and_what_it_had_decided(self):
         self.assertEqual(self.ask(self.query(), {"KILL": {}}), [])
-        self.assertEqual(self.desk.seats, {})
+        self.assertEqual(self.processor.instances, {})
 
     def test_terms_are_rounded_to_the_safe_side(self):
-        terms = self.desk.seats["proxy_0"].proxy.terms
+        terms = self.processor.instances["proxy_0"].proxy.terms
         self.assertEqual((terms.profiles[0].service_goal, terms.cold_time), (2_000, 83_001))
 
     def test_news_of_a_host_not_listed_or_not_ours_is_passed_over(self):
@@ -95,7 +95,7 @@
             for n, weight in enumerate((0, None, -3.0, 1e-9, 10.0))
         ]
         self.ask({"DIRECTORY": {"slot": 1, "records": odd}}, {"VIEW": {"scope": "update", "slot": 1}})
-        self.assertGreater(min(s.size for s in self.desk.seats["proxy_0"].proxy.servers.values()), 0)
+        self.assertGreater(min(s.size for s in self.processor.instances["proxy_0"].proxy.servers.values()), 0)
         self.assertIn("FORWARD", self.ask(self.query())[0])
 
     def test_an_unknown_event_is_not_swallowed(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,7 +12,7 @@
 from basalthook.routing.roster import Roster
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection, Stage
-from basalthook.transport.descriptors import Descriptors
+from basalthook.transport.descriptors import DescriptorBudget
 from basalthook.transport.listener import Listener
 from tests.fake import OK, RESET, SETTINGS, SILENT, Caller, SocketHost, start_up
 from tests.loopback import Loopback
@@ -96,7 +96,7 @@
         caller = await self.play(SocketHost())
         self.assertEqual(await caller.outcome(), 200)
         self.hosts[0].writers[0].close()
-        await self.until(lambda: not self.service.pool.kept)
+        await self.until(lambda: not self.service.pool.idle_connections)
         self.assertEqual(await caller.outcome(profile="submit"), 200)
         self.assertEqual(self.log.hops(), [])
 
@@ -121,28 +121,28 @@
         self.assertEqual(await caller.outcome(), 200)
         self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
         await self.until(lambda: self.service.owner.roster.ready(1))
-        self.assertEqual(self.service.pool.kept, {})
+        self.assertEqual(self.service.pool.idle_connections, {})
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
 
     async def test_an_idle_connection_goes_before_the_host_would_close_it(self):
         caller = await self.play(SocketHost(), allowed={**SETTINGS["allowed"], "keepalive_ns": 50_000_000})
         self.assertEqual(await caller.outcome(), 200)
-        self.assertEqual(len(self.service.pool.kept), 1)
+        self.assertEqual(len(self.service.pool.idle_connections), 1)
         self.assertTrue(await self.hosts[0].ended.get())
-        self.assertEqual((self.service.pool.kept, self.service.pool.by_host), ({}, {}))
+        self.assertEqual((self.service.pool.idle_connections, self.service.pool.by_host), ({}, {}))
 
     async def test_a_silent_host_costs_its_connection_and_the_answer_comes_in_time(self):
         caller = await self.play(SocketHost(SILENT))
         self.assertEqual(await caller.outcome(profile="submit", timeout="0.2"), 504)
         self.assertTrue(await self.hosts[0].ended.get())
         self.assertEqual(self.log.hops(), [("written", i.TIMED_OUT)])
-        self.assertEqual(self.service.pool.kept, {})
+        self.assertEqual(self.service.pool.idle_connections, {})
 
     async def test_nothing_leaves_for_what_was_answered_while_its_connection_came_up(self):
         host = SocketHost()
         caller = await self.play(host)
-        fresh = self.service.pool.fresh
+        fresh = self.service.pool.open_connection
 
         def gone_meanwhile(address, up):
             def come(fault):
@@ -152,11 +152,11 @@
 
             return fresh(address, come)
 
-        self.service.pool.fresh = gone_meanwhile
+        self.service.pool.open_connection = gone_meanwhile
         caller.ask("submit")
         await self.until(self.log.hops)
         self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
-        self.assertEqual((host.got.qsize(), len(self.service.pool.kept)), (0, 1))
+        self.assertEqual((host.got.qsize(), len(self.service.pool.idle_connections)), (0, 1))
 
     async def test_from_the_stage_alone_follows_what_may_have_run(self):
         for stage, stopped, outcome in (
@@ -197,7 +197,7 @@
 
     async def test_a_connection_reset_as_it_comes_up_tells_of_no_dead_host(self):
         peer = socket.create_server(("127.0.0.1", 0))
-        connection = Connection.towards(peer.getsockname(), BufferPool(64, 8), Descriptors(64))
+        connection = Connection.for_address(peer.getsockname(), BufferPool(64, 8), DescriptorBudget(64))
         coming = asyncio.get_running_loop().create_future()
         connection.connect(peer.getsockname(), coming.set_result)
         taken, _ = peer.accept()
@@ -251,7 +251,7 @@
         await self.until(lambda: len(self.service.clients.open) == 16)
         self.assertEqual(await silent[0].reader.read(), b"")  # the oldest of them went
         self.assertEqual(await caller.outcome(profile="submit"), 200)  # and the one that had asked did not
-        self.assertEqual(len(self.service.pool.kept), 1)
+        self.assertEqual(len(self.service.pool.idle_connections), 1)
 
     async def test_hundreds_that_send_half_a_head_take_no_place_from_callers(self):
         """They held every place for 2.5 s, and callers waited to be accepted (recorded day, G 0.37)."""
@@ -296,7 +296,7 @@
                 heads.append((await stays.answer())[2])
             self.assertNotIn("Connection: close", heads[0])
             self.assertIn("Connection: close", "".join(heads))
-            self.service.descriptors.at_ease = 2
+            self.service.descriptors.max_kept_alive_clients = 2
             await self.until(lambda: len(self.service.clients.open) <= 2)
 
     async def test_an_id_that_is_open_is_not_opened_again(self):
@@ -439,7 +439,7 @@
         first = decode(start_up([host], host), {}).known
         number = roster.told(first, False).hosts[0].host
         roster.attempt_begun(number)
-        roster.told(first._replace(lines=()), True)
+        roster.told(first._replace(records=()), True)
         self.assertEqual((len(roster.places), roster.ready(number)), (1, False))
         roster.attempt_over(number)
         self.assertEqual((roster.places, roster.numbers), ({}, {}))
@@ -449,13 +449,13 @@
         roster, host = Roster(only_draining_binds=True), await self.started(SocketHost())
         first = decode(start_up([host], host), {}).known
         number = roster.told(first, False).hosts[0].host
-        gone = first.lines[0]._replace(ready=False)
+        gone = first.records[0]._replace(ready=False)
         for lines, stays in (
             ((), True),
             ((gone._replace(removed=True),), True),
             ((gone._replace(draining=True),), False),
         ):
-            roster.told(first._replace(lines=lines), True)
+            roster.told(first._replace(records=lines), True)
             roster.let_go({number})
             self.assertEqual(roster.ready(number), stays)
         roster.told(first, True)
@@ -470,7 +470,7 @@
         for n in range(12):
             other = await self.caller()  # those before stay open, until they must go
             self.assertEqual(await other.outcome(profile="submit", key=f"k{n}"), 200)
-        self.assertLessEqual(self.service.clients.descriptors.held, 9)
+        self.assertLessEqual(self.service.clients.descriptors.in_use, 9)
 
     async def test_what_waits_to_be_accepted_is_taken_before_the_listener_closes(self):
         taken = []
@@ -506,12 +506,12 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        pool, descriptors, seen = BufferPool(64, 8), Descriptors(64), []
+        pool, descriptors, seen = BufferPool(64, 8), DescriptorBudget(64), []
         connection = Connection(ours, pool, descriptors)
-        connection.follow(lambda part, late: seen.append((bytes(part), len(pool.free))), seen.append)
+        connection.start_reading(lambda part, late: seen.append((bytes(part), len(pool.free))), seen.append)
         theirs.send(b"x" * 100)
         await self.until(lambda: len(seen) == 2)
         self.assertEqual(seen, [(b"x" * 64, 0), (b"x" * 36, 0)])
         theirs.close()
         await self.until(lambda: len(seen) == 3)
-        self.assertEqual((len(pool.free), descriptors.held, seen[2].stage), (1, 0, Stage.WRITTEN))
+        self.assertEqual((len(pool.free), descriptors.in_use, seen[2].stage), (1, 0, Stage.WRITTEN))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -8,10 +8,10 @@
 
 from basalthook.lab.syscalls import Chances, faulty
 from basalthook.protocol import catalogue
-from basalthook.transport import listener as listening
+from basalthook.transport import listener as listener_module
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
-from basalthook.transport.descriptors import Descriptors
+from basalthook.transport.descriptors import DescriptorBudget
 from basalthook.transport.listener import Listener
 from tests.fake import SocketHost
 from tests.loopback import Loopback
@@ -41,13 +41,13 @@
                 with socket.create_server(("127.0.0.1", 0)) as server:
                     sock = Breaking(socket.AF_INET)
                     sock.connect(server.getsockname())
-                    connection, ended = Connection(sock, BufferPool(64, 8), Descriptors(64)), []
-                    connection.follow(lambda *_: None, ended.append)
+                    connection, ended = Connection(sock, BufferPool(64, 8), DescriptorBudget(64)), []
+                    connection.start_reading(lambda *_: None, ended.append)
                     if paused:
-                        connection.pause()
+                        connection.pause_reading()
                     self.assertFalse(connection.write(parts))
-                    connection.pause()
-                    connection.follow(lambda *_: None, ended.append)
+                    connection.pause_reading()
+                    connection.start_reading(lambda *_: None, ended.append)
                     await asyncio.sleep(0.05)
                     self.assertEqual((connection.closed, len(ended)), (True, 1))
 
@@ -57,7 +57,7 @@
         for code, outcome in ((errno.EADDRNOTAVAIL, "unsent"), (errno.ECONNREFUSED, "unreachable")):
             caller = await self.play(SocketHost(), SocketHost())
             failures, real = [code], socket.socket
-            endpoints = {catalogue.address(host.address) for host in self.hosts}  # not discovery
+            endpoints = {catalogue.parse_address(host.address) for host in self.hosts}  # not discovery
 
             class Failing(real):
                 def connect(self, address, failures=failures, endpoints=endpoints):
@@ -76,7 +76,7 @@
 class Accepting(unittest.IsolatedAsyncioTestCase):
     def listener(self, failures):
         """One whose next so many calls of accept fail, and the connections it takes."""
-        taken, calls, real = [], [], listening.bind_sockets
+        taken, calls, real = [], [], listener_module.bind_sockets
 
         class Failing(socket.socket):
             def accept(self):
@@ -89,7 +89,7 @@
             (sock,) = real(*given)
             return [Failing(sock.family, sock.type, sock.proto, sock.detach())]
 
-        with patch.object(listening, "bind_sockets", bound):
+        with patch.object(listener_module, "bind_sockets", bound):
             made = Listener(("127.0.0.1", 0), lambda sock: taken.append(sock) or True)
         made.socket.setblocking(False)
         self.addCleanup(lambda: [sock.close() for sock in (made.socket, *taken)])
@@ -116,11 +116,11 @@
 
     def test_a_start_waits_for_sockets_and_for_an_address_still_in_use(self):
         with patch.object(socket, "socket", faulty(Chances(create=0.7))):
-            listening.listening(("127.0.0.1", 0)).close()
+            listener_module.open_listening_socket(("127.0.0.1", 0)).close()
         with socket.create_server(("127.0.0.1", 0)) as other:
             pauses = []
-            with patch.object(listening.time, "sleep", lambda _: (pauses.append(1), other.close())):
-                listening.listening(other.getsockname()).close()
+            with patch.object(listener_module.time, "sleep", lambda _: (pauses.append(1), other.close())):
+                listener_module.open_listening_socket(other.getsockname()).close()
             self.assertEqual(len(pauses), 1)
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -3,11 +3,11 @@
 import unittest
 from unittest.mock import patch
 
-from basalthook.protocol.catalogue import Line, Listing
+from basalthook.protocol.catalogue import HostList, HostRecord
 from basalthook.routing.clock import TICK, TICKS
 from basalthook.routing.roster import Roster
 from basalthook.routing.starts import Starts
-from basalthook.transport import arrival
+from basalthook.transport import timestamps
 
 HOUR = 3600 * TICKS
 
@@ -19,8 +19,8 @@
 
     def told(self, started, answered=True, name="s-0"):
         """As the decisions get it; `started`: in ticks, None: long ago."""
-        line = Line(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK)
-        listing = Listing(1, False, (line,))
+        line = HostRecord(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK)
+        listing = HostList(1, False, (line,))
         return self.roster.told(listing, answered).hosts[0].started
 
     def test_a_start_told_while_this_clock_is_an_hour_ahead_is_a_new_one(self):
@@ -55,15 +55,15 @@
         A step: real seconds passed, the wall clock's step, real seconds since the bytes were stamped.
         """
         real, ahead = 100.0, 1_000.0
-        with patch.object(arrival, "time") as clock:
+        with patch.object(timestamps, "time") as clock:
             clock.monotonic_ns.side_effect = lambda: int(real * 1e9)
             clock.time_ns.side_effect = lambda: int((real + ahead) * 1e9)
-            reader, found = arrival.StampReader(), []
+            reader, found = timestamps.TimestampReader(), []
             for passed, step, ago in steps:
                 real += passed
                 stamped_at = int((real - ago + ahead) * 1e9)
                 ahead += step  # while the bytes lie unread
-                found.append(round(reader.late(stamped_at) / 1e9, 3))
+                found.append(round(reader.delay(stamped_at) / 1e9, 3))
         return found
 
     def test_a_wall_clock_that_is_set_makes_no_bytes_that_lie_unread_late(self):
