--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -4,7 +4,7 @@
 from ..fleet.counting import Counting
 from ..policy import interface as i
 from ..policy.decide import Proxy
-from ..protocol import peer_messages
+from ..protocol import news
 from ..recovery.following import Asking, Following
 from ..terms import TENTH
 
@@ -120,7 +120,7 @@
                 answered=fields["scope"] != "restored",
             )
         if name == "INBOX":
-            what, mark = peer_messages.decode_hex(fields.get("payload")) or (None, None)
+            what, mark = news.decode_hex(fields.get("payload")) or (None, None)
             return (
                 i.NewsCame(fields["src"], self.host_by_hash[mark], what)
                 if mark in self.host_by_hash
@@ -158,7 +158,7 @@
             return {
                 "SIGNAL": {
                     "recipient": "all" if effect.peer is None else effect.peer,
-                    "payload": peer_messages.encode(effect.what, self.host_hashes[effect.host]).hex(),
+                    "payload": news.encode(effect.what, self.host_hashes[effect.host]).hex(),
                 }
             }
         return {"OBSERVE": {"on": True}}
--- a/basalthook/transport/connection.py
+++ b/basalthook/transport/connection.py
@@ -11,7 +11,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from . import timestamps
+from . import arrival
 from .buffers import BufferPool
 from .descriptors import DescriptorBudget
 
@@ -77,7 +77,7 @@
         self.on_data = self.on_close = self.on_connected = None
         self.connect_started = self.connect_notice_delay = 0
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        timestamps.enable(sock)
+        arrival.enable(sock)
         self.stream = Stream(sock, self)
         descriptors.acquire()
 
@@ -109,7 +109,7 @@
             if getattr(error, "errno", None) in LOCAL_ERRORS:
                 stage = Stage.UNTRIED
             return on_connected(ConnectionFailure(stage, str(error)))
-        handshake_ns = timestamps.handshake_time(self.stream.socket)
+        handshake_ns = arrival.handshake_time(self.stream.socket)
         if handshake_ns is not None:
             self.connect_notice_delay = max(0, time.monotonic_ns() - self.connect_started - handshake_ns)
         on_connected(None)
@@ -119,7 +119,7 @@
 
         Guards against taking our own lateness for a peer that does not answer.
         """
-        if not self.closed and not timestamps.connect_finished(self.stream.socket):
+        if not self.closed and not arrival.connect_finished(self.stream.socket):
             self.fail(reason)
 
     def start_reading(self, on_data, on_close) -> None:
@@ -147,7 +147,7 @@
             try:
                 try:
                     count, ancillary, _, _ = self.stream.socket.recvmsg_into(
-                        [buffer], timestamps.ANCILLARY_BYTES
+                        [buffer], arrival.ANCILLARY_BYTES
                     )
                 except BlockingIOError:
                     return
@@ -155,7 +155,7 @@
                     return self.fail(str(fault))
                 if count:
                     with memoryview(buffer) as whole, whole[:count] as part:
-                        self.on_data(part, timestamps.receive_delay(ancillary) if ancillary else 0)
+                        self.on_data(part, arrival.receive_delay(ancillary) if ancillary else 0)
             finally:
                 self.buffers.release(buffer)
             if not count:
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -7,7 +7,7 @@
 
 from tornado.netutil import bind_sockets
 
-from . import timestamps
+from . import arrival
 
 BACKLOG = 1024
 MAX_ACCEPTS_PER_ITERATION = 128  # connections taken in a turn of the loop, before others come
@@ -66,7 +66,7 @@
         """`inherited`: a socket that listens there already, and goes on doing so when this process ends."""
         self.inherited, self.log = inherited is not None, log
         self.socket = inherited if self.inherited else open_listening_socket(address)
-        timestamps.enable(self.socket)
+        arrival.enable(self.socket)
         self.address, self.on_accept = self.socket.getsockname()[:2], on_accept
         self.accepting = self.paused = False
         self.loop: asyncio.AbstractEventLoop | None = None
--- a/basalthook/transport/timers.py
+++ b/basalthook/transport/timers.py
@@ -36,7 +36,7 @@
             entry[2], entry[3] = None, ()
             self.cancelled += 1
             if self.cancelled > COMPACT_THRESHOLD and self.cancelled * 2 > len(self.heap):
-                self.heap = [entry for entry in self.heap if entry[2] is not None]
+                self.heap = [pending for pending in self.heap if pending[2] is not None]
                 heapify(self.heap)
                 self.cancelled = 0
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,7 +6,7 @@
 import orjson
 
 from basalthook.policy import interface as i
-from basalthook.protocol import application, catalogue, hosts, peer_messages
+from basalthook.protocol import application, catalogue, hosts, news
 from basalthook.protocol.http1 import MAX_HEAD_BYTES, Message, Parser, Rejection
 
 POST = (
@@ -256,8 +256,6 @@
 class News(unittest.TestCase):
     def test_there_and_back_and_what_is_not_ours_is_nothing(self):
         for what in (i.MET_FAULT, i.AT_FAULT):
-            self.assertEqual(
-                peer_messages.decode_hex(peer_messages.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1)
-            )
+            self.assertEqual(news.decode_hex(news.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1))
         for digits in (None, "", "0", "zz", "01", "00" * 7, "03" + "31" * 6, "01" * 8, "01" * 300):
-            self.assertIsNone(peer_messages.decode_hex(digits))
+            self.assertIsNone(news.decode_hex(digits))
