--- a/basalthook/bodies/__init__.py
+++ b/basalthook/bodies/__init__.py
@@ -1,1 +1,1 @@
-"""Bodies of any size: room for those that are collected, relays for those that go on as they come."""
+"""Bodies of any size: a memory budget for collected request bodies, and forwarding of streamed responses."""
--- a/basalthook/console/__init__.py
+++ b/basalthook/console/__init__.py
@@ -1,1 +1,1 @@
-"""The second address, for the staff: a table of calls, and the callers' connections."""
+"""The admin address, for operators: its HTTP API and its server."""
--- a/basalthook/console/callers.py
+++ b/basalthook/console/callers.py
@@ -1,7 +1,7 @@
-"""Callers of the second address: one call a connection, read before clients, answered at once.
+"""The server at the admin address: one request per connection, handled before client connections.
 
-A few places of their own, so that a crowd at the clients' address takes none of them. Who finishes no call
-goes after `PATIENCE`, or when its place is needed.
+It has a few descriptors of its own, so that a crowd at the clients' address can't take them. A connection
+that does not complete a request is closed after `REQUEST_TIMEOUT_S`, or earlier when its place is needed.
 """
 
 from ..protocol.http1 import Parser, Rejection
@@ -11,16 +11,18 @@
 from ..transport.timers import Timers
 from . import calls
 
-MAX_CONNECTIONS = 12  # callers at once; the longest there goes for a new one
-REQUEST_TIMEOUT_S = 1.0  # seconds for a whole call, and as many to read its answer
-MAX_BODY_BYTES = 4096  # a call needs none
+MAX_CONNECTIONS = 12  # at once; the oldest one is closed for a new one
+REQUEST_TIMEOUT_S = 1.0  # for the whole request and the reading of its response
+MAX_BODY_BYTES = 4096  # no request needs a body
 
 
 class AdminConnection:
+    """One connection to the admin address; it carries a single request."""
+
     __slots__ = ("server", "connection", "fd", "parser", "timer", "responded")
 
     def __init__(self, server: "AdminServer", connection: Connection, fd: int) -> None:
-        """`fd`: of its descriptor, which is not known any more once it has ended."""
+        """`fd`: the socket's descriptor; it can't be read from the socket after the connection has closed."""
         self.fd = fd
         self.server, self.connection, self.responded = server, connection, False
         self.parser = Parser(responses=False, max_body=MAX_BODY_BYTES)
@@ -28,14 +30,14 @@
 
     def on_data(self, data, _: int) -> None:
         if self.responded:
-            return  # what comes behind a call is passed over
+            return  # bytes after the request are ignored
         try:
             self.parser.feed(data)
             if self.parser.result is not None:
                 self.respond(self.server.reply(self.parser.result))
             elif self.parser.expects_continue:
                 self.respond(calls.AdminResponse(417, "no body is wanted"))
-        except Exception as error:  # exceptions stop at the connection
+        except Exception as error:  # an exception must not affect other connections
             self.server.log("fault", where="console", error=repr(error))
             self.drop()
 
@@ -45,13 +47,14 @@
             self._response_written()
 
     def _response_written(self) -> None:
-        """The end is told; the peer gets time to read before the connection goes."""
+        """Send an end of stream; the peer has until the timer is due to read the response."""
         self.connection.shutdown_write()
 
     def on_close(self, _: ConnectionFailure) -> None:
         self.drop()
 
     def drop(self) -> None:
+        """Close the connection and forget it."""
         self.server.timers.cancel(self.timer)
         self.server.connections.pop(self, None)
         self.server.urgent_fds.discard(self.fd)
@@ -59,10 +62,10 @@
 
 
 class AdminServer:
-    """`carry_out(call)` gives the Reply."""
+    """Accepts admin connections; `handle(request)` returns the AdminResponse to a valid request."""
 
     def __init__(self, handle, timers: Timers, buffers: BufferPool, urgent_fds: set[int], log) -> None:
-        """`urgent`: descriptors that the loop looks at before all others."""
+        """`urgent_fds`: descriptors that the event loop handles before all others."""
         self.handle, self.timers, self.buffers, self.urgent_fds, self.log = (
             handle,
             timers,
@@ -70,19 +73,18 @@
             urgent_fds,
             log,
         )
-        self.descriptors = DescriptorBudget(
-            RESERVED_DESCRIPTORS + 2 * MAX_CONNECTIONS
-        )  # of their own; the clients' do not know them
-        self.connections: dict[
-            AdminConnection, None
-        ] = {}  # the longest there first; emptied by their end or by time
+        # separate from the budget for clients and hosts
+        self.descriptors = DescriptorBudget(RESERVED_DESCRIPTORS + 2 * MAX_CONNECTIONS)
+        # the oldest first; removed when closed, at the latest by the timeout
+        self.connections: dict[AdminConnection, None] = {}
 
     def accept(self, sock) -> bool:
+        """Take a new connection, closing the oldest one if there are too many. Always returns True."""
         while len(self.connections) >= MAX_CONNECTIONS:
             next(iter(self.connections)).drop()
         try:
             connection = Connection(sock, self.buffers, self.descriptors)
-        except OSError:  # it ended before we could look at it
+        except OSError:  # closed by the peer already
             sock.close()
             return True
         admin_connection = AdminConnection(self, connection, sock.fileno())
@@ -92,6 +94,7 @@
         return True
 
     def reply(self, message) -> calls.AdminResponse:
+        """Handle a parsed message; requests that are not read-only, and bad ones, are logged."""
         if isinstance(message, Rejection):
             return calls.rejection_response(message)
         request = calls.parse_request(message)
--- a/basalthook/console/calls.py
+++ b/basalthook/console/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the second address, in words: which there are, and what an answer looks like. No I/O."""
+"""The HTTP API of the admin address: its routes, requests and responses. No I/O."""
 
 from typing import NamedTuple
 from urllib.parse import quote, unquote
@@ -10,10 +10,10 @@
 
 READY, HOSTS, DISABLE, ENABLE, DRAIN, RESUME = "ready", "hosts", "disable", "enable", "drain", "resume"
 MEMBERS, VERDICTS, LIMITS = "members", "verdicts", "limits"
-READ_ONLY = READY, HOSTS, MEMBERS, VERDICTS, LIMITS  # not worth a line in the log
+READ_ONLY = READY, HOSTS, MEMBERS, VERDICTS, LIMITS  # not logged
 PREFIX = "/-/"
 HOST_PLACEHOLDER = "{id}"
-# path -> method, what is asked; "{id}" stands for one segment, the id of a host as discovery tells it
+# path -> method, action; "{id}" stands for one segment, the id of a host in the list from discovery
 ROUTES = {
     ("ready",): ("GET", READY),
     ("hosts",): ("GET", HOSTS),
@@ -28,12 +28,14 @@
 
 
 class AdminRequest(NamedTuple):
+    """A valid request; `host` is empty unless the action concerns one host."""
+
     action: str
     host: str = ""
 
 
 class AdminResponse(NamedTuple):
-    """2xx is yes. `allow`: the one method of a path that was called with another."""
+    """A response. Status 2xx means success; `allow` is the allowed method, for status 405 only."""
 
     status: int
     text: str
@@ -41,7 +43,7 @@
 
 
 def parse_request(message: Message) -> AdminRequest | AdminResponse:
-    """The call a message stands for; a Reply says why it is none."""
+    """Return the request that a message stands for, or the response that rejects it."""
     path = message.target.split("?", 1)[0]
     parts = path.removeprefix(PREFIX).split("/") if path.startswith(PREFIX) else []
     host = ""
@@ -56,11 +58,12 @@
 
 
 def rejection_response(rejection: Rejection) -> AdminResponse:
+    """Return the response to a malformed message."""
     return AdminResponse(rejection.status, rejection.reason)
 
 
 def encode_response(response: AdminResponse) -> bytes:
-    """One answer; the connection ends with it."""
+    """Return the bytes of a response, after which the connection is closed."""
     allow = [("Allow", response.allow)] if response.allow else []
     return http1.response(
         response.status,
@@ -71,15 +74,18 @@
 
 
 def json_lines(rows: list[dict]) -> AdminResponse:
-    """A JSON line for each."""
+    """Return a response with one line of JSON per row."""
     return AdminResponse(200, b"\n".join(map(orjson.dumps, rows)).decode())
 
 
 def request_line(action: str, host: str = "") -> tuple[str, str]:
-    """Method and path of a call, for whoever makes it."""
+    """Return the method and path of a request, for callers of the API.
+
+    Raises ValueError for an unknown action.
+    """
     for path, (method, name) in ROUTES.items():
         if name == action:
             return method, PREFIX + "/".join(
                 quote(host, safe="") if part == HOST_PLACEHOLDER else part for part in path
             )
-    raise ValueError(f"no call: {action}")
+    raise ValueError(f"no such action: {action}")
--- a/basalthook/transport/buffers.py
+++ b/basalthook/transport/buffers.py
@@ -1,12 +1,14 @@
-"""Read buffers of one size, used again."""
+"""A pool of reusable read buffers of one size."""
 
 
 class BufferPool:
+    """Hands out buffers of `size` bytes and keeps up to `max_free` returned ones for reuse."""
+
     def __init__(self, size: int, max_free: int) -> None:
         self.size, self.max_free = (
             size,
             max_free,
-        )  # as many are out as connections read; so many are kept free
+        )
         self.free: list[bytearray] = []
 
     def acquire(self) -> bytearray:
--- a/basalthook/transport/connection.py
+++ b/basalthook/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: reads handed on as they come, writes, and values that say how far it had come."""
+"""One TCP connection: reads passed on as they arrive, buffered writes, and stages for reporting failures."""
 
 import errno
 import select
@@ -15,16 +15,20 @@
 from .buffers import BufferPool
 from .descriptors import DescriptorBudget
 
-PEER_CLOSED = "ended by the peer"  # in order: what a peer sends till then is all it had to say
-LINGER_RESET = struct.pack("ii", 1, 0)  # linger, for no time
-PEER_CLOSED_EVENT = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere only what poll(2) tells unasked
-# connect(2): nothing was sent, and nothing is known of the peer
+PEER_CLOSED = "ended by the peer"  # an orderly close: everything the peer sent has been read
+LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: on, 0 s
+# Linux only; without it poll(2) still reports errors and hang-ups
+PEER_CLOSED_EVENT = getattr(select, "POLLRDHUP", 0)
+# errors of connect(2) for lack of local resources: nothing was sent, and the peer is not at fault
 LOCAL_ERRORS = {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE}
-MAX_READS_PER_ITERATION = 4  # buffers that one connection may fill in a turn of the loop, before others come
+MAX_READS_PER_ITERATION = 4  # buffers that one connection may fill before the loop serves others
 
 
 class Stage(IntEnum):
-    """How far an exchange had come; the peer can have begun on it only from WRITTEN on."""
+    """How far an exchange has progressed. The peer can have started to process it only from WRITTEN on.
+
+    The names go out in lower case, as the log field `stage`.
+    """
 
     UNTRIED = 0  # nothing has left this machine
     CONNECTING = 1
@@ -34,16 +38,21 @@
 
 
 class ConnectionFailure(NamedTuple):
+    """Why a connection ended or could not be established, and how far its exchange had progressed."""
+
     stage: Stage
     reason: str
 
 
 class Stream(IOStream):
-    """Gives what it reads to its connection at once and keeps nothing, so one read stands for ever."""
+    """A Tornado stream that lets its connection read from the socket, and buffers nothing itself.
+
+    The single read that the connection starts therefore never completes.
+    """
 
     def __init__(self, sock: socket.socket, connection: "Connection") -> None:
         self.connection = connection
-        super().__init__(sock, read_chunk_size=1)  # its own buffer stays empty
+        super().__init__(sock, read_chunk_size=1)  # the stream's own buffer stays empty
 
     def read_from_fd(self, buf) -> None:
         if self.connection is not None:
@@ -51,10 +60,12 @@
 
 
 class Connection:
-    """Whoever follows it is told `took(bytes, late)` of what comes, once `ended(fault)`, unless it closed.
+    """A TCP connection that reports to the handlers given to `start_reading`.
 
-    `late` is for how many nanoseconds the bytes had lain in the kernel. A read stands from the first follower
-    on, also while the connection idles, so that an end is seen.
+    `on_data(data, delay)` is called for received bytes, where `delay` is how many nanoseconds they waited
+    in the kernel. `on_close(failure)` is called once when the connection ends, unless `close` was called.
+    Once reading has started it goes on while the connection is idle, so that a close by the peer is
+    noticed.
     """
 
     __slots__ = (
@@ -83,16 +94,19 @@
 
     @classmethod
     def for_address(cls, address: tuple[str, int], buffers: BufferPool, descriptors: DescriptorBudget):
-        """One not yet up; a Fault where this machine gives no socket."""
+        """Return an unconnected connection, or a ConnectionFailure if no socket can be created."""
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
-        except OSError as fault:
-            return ConnectionFailure(Stage.UNTRIED, str(fault))
+        except OSError as error:
+            return ConnectionFailure(Stage.UNTRIED, str(error))
         descriptors.outgoing_fds.add(sock.fileno())
         return cls(sock, buffers, descriptors)
 
     def connect(self, address: tuple[str, int], on_connected) -> None:
-        """`up(None)` once it is up, `up(fault)` if it is not to be; not before this returns."""
+        """Start connecting; `on_connected` is called later with None on success, or with a ConnectionFailure.
+
+        It is never called before this method returns.
+        """
         self.on_connected, self.connect_started = on_connected, time.monotonic_ns()
         self.stream.connect(address).add_done_callback(self._connected)
 
@@ -104,7 +118,7 @@
         if future.cancelled() or future.exception() is not None:
             error = self.stream.error or future.exception()
             self.close()
-            # reset, not refused: the peer's machine had taken it already
+            # a reset, unlike a refusal, comes after the peer had accepted the connection
             stage = Stage.WRITING if isinstance(error, ConnectionResetError) else Stage.CONNECTING
             if getattr(error, "errno", None) in LOCAL_ERRORS:
                 stage = Stage.UNTRIED
@@ -115,15 +129,19 @@
         on_connected(None)
 
     def connect_timed_out(self, reason: str) -> None:
-        """It should be up by now; if it is, or was turned down, the loop is about to say so.
+        """Fail the connection, unless it is established or was refused and the loop has yet to report that.
 
-        Guards against taking our own lateness for a peer that does not answer.
+        When this process is late, the timer can fire before the loop has processed a finished handshake;
+        that is not the peer's fault.
         """
         if not self.closed and not arrival.connect_finished(self.stream.socket):
             self.fail(reason)
 
     def start_reading(self, on_data, on_close) -> None:
-        """From here on tell these; what is there already is told before this returns."""
+        """Set the handlers and start or resume reading.
+
+        Bytes that are already there may be delivered before this returns.
+        """
         self.on_data, self.on_close = on_data, on_close
         if self._check_closed():
             return
@@ -139,7 +157,8 @@
                 self._stream_closed()
 
     def receive(self) -> None:
-        """Read what the kernel has, a few buffers at most: the loop comes back for the rest."""
+        """Read available bytes, at most `MAX_READS_PER_ITERATION` buffers; the loop calls again for the
+        rest."""
         for _ in range(MAX_READS_PER_ITERATION):
             if self.closed or self.on_data is None:
                 return
@@ -151,11 +170,11 @@
                     )
                 except BlockingIOError:
                     return
-                except OSError as fault:
-                    return self.fail(str(fault))
+                except OSError as error:
+                    return self.fail(str(error))
                 if count:
-                    with memoryview(buffer) as whole, whole[:count] as part:
-                        self.on_data(part, arrival.receive_delay(ancillary) if ancillary else 0)
+                    with memoryview(buffer) as view, view[:count] as data:
+                        self.on_data(data, arrival.receive_delay(ancillary) if ancillary else 0)
             finally:
                 self.buffers.release(buffer)
             if not count:
@@ -164,10 +183,11 @@
                 return
 
     def write(self, parts: tuple[bytes, ...], on_written=None) -> bool:
-        """Whether the last byte is with the kernel; where not, `wrote()` is called once it is, if ever.
+        """Write all parts and return whether the kernel has accepted the last byte.
 
-        All parts go in one call; what the kernel does not take at once is kept by reference, and nothing may
-        follow before it is written.
+        If it has not, `on_written()` is called once it has, or never if the connection ends before. The
+        parts are passed in one system call; unsent ones are kept by reference, and the caller must not
+        write again before they are written.
         """
         if self.closed:
             return False
@@ -179,8 +199,8 @@
                     return True
             except BlockingIOError:
                 pass
-            except OSError as fault:
-                self.fail(str(fault))
+            except OSError as error:
+                self.fail(str(error))
                 return False
         unsent = []
         for part in parts:
@@ -188,12 +208,12 @@
                 unsent.append(memoryview(part)[sent:])
             sent = max(0, sent - len(part))
         for part in unsent:
-            if not self._check_closed():  # under the part before
+            if not self._check_closed():  # writing the previous part may have closed it
                 written = self.stream.write(part)
         if self._check_closed():
             return False
         if unsent and self.paused:
-            self.pause_reading()  # the stream looks for bytes again when it waits to write
+            self.pause_reading()  # while waiting to write, the stream listens for reads again
         if unsent and on_written is not None:
             written.add_done_callback(
                 lambda done: None if done.cancelled() or done.exception() else on_written()
@@ -201,13 +221,13 @@
         return not unsent
 
     def pause_reading(self) -> None:
-        """Read no more, so that the peer's writing comes to a halt."""
+        """Stop reading, so that TCP flow control stops the peer from sending."""
         self.on_data, self.paused, loop = None, True, self.stream.io_loop
         if not self._check_closed():
             loop.update_handler(self.stream.socket, loop.ERROR | (loop.WRITE if self.stream.writing() else 0))
 
     def peer_closed(self) -> bool:
-        """Whether the peer has ended its side or all, seen also behind bytes that nobody has read yet."""
+        """Return whether the peer has closed its side or the whole connection, even behind unread bytes."""
         if self.closed or self.stream.closed():
             return True
         poller = select.poll()
@@ -215,7 +235,10 @@
         return bool(poller.poll(0))
 
     def is_idle(self) -> bool:
-        """Guards against using a kept connection that the peer has ended or written to unasked."""
+        """Return whether the connection is open with nothing to read.
+
+        A pooled connection that the peer has closed, or has sent unexpected bytes on, must not be reused.
+        """
         if self.closed or self.stream.closed():
             return False
         try:
@@ -227,7 +250,8 @@
             return False
 
     def fail(self, reason: str) -> None:
-        """It ended, or was given up: whoever follows it, or waits for it to come up, is told."""
+        """Close the connection and report `reason` to `on_connected` if it was connecting, else to
+        `on_close`."""
         on_close, on_connected = self.on_close, self.on_connected
         if not self.closed:
             self.close()
@@ -237,12 +261,12 @@
                 on_close(ConnectionFailure(Stage.WRITTEN, reason))
 
     def reset_on_close(self) -> None:
-        """The end that follows is one that no peer takes for the end of a whole message."""
+        """Make the next `close` send a reset, which the peer can't take for the regular end of a message."""
         with suppress(OSError):
             self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     def close(self) -> None:
-        """Nobody is told of anything after this."""
+        """Close the connection; no handler is called after this."""
         if self.closed:
             return
         self.closed = True
@@ -251,10 +275,10 @@
         self.descriptors.outgoing_fds.discard(self.stream.socket.fileno() if self.stream.socket else -1)
         self.stream.set_close_callback(None)
         self.stream.close()
-        self.stream.connection = None  # no circle is left for the collector
+        self.stream.connection = None  # breaks the reference cycle
 
     def _check_closed(self) -> bool:
-        """Whether it is over; the stream may have found that out in a call of ours, before it says so."""
+        """Return whether the connection is closed, also if the stream has closed and not yet reported it."""
         if not self.closed and self.stream.closed():
             self._stream_closed()
         return self.closed
@@ -263,7 +287,8 @@
         self.fail(str(self.stream.error or PEER_CLOSED))
 
     def shutdown_write(self) -> None:
+        """Close the sending direction; the peer reads an end of stream."""
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
-        except OSError as fault:
-            self.fail(str(fault))
+        except OSError as error:
+            self.fail(str(error))
--- a/basalthook/transport/hostpool.py
+++ b/basalthook/transport/hostpool.py
@@ -1,4 +1,8 @@
-"""Connections to hosts: kept ones are used again, given up before the host would, and never when in doubt."""
+"""The pool of keep-alive connections to hosts.
+
+Idle connections are reused, and closed before the host would close them; one in a doubtful state is not
+reused.
+"""
 
 import time
 from collections import OrderedDict
@@ -8,37 +12,40 @@
 from .descriptors import DescriptorBudget
 from .timers import Timers
 
-REUSE_DELAY_S = 0.01  # seconds after an answer before the connection is used again
-IDLE_TIMEOUT_FRACTION = (
-    0.8  # of the time after which a host closes an idle connection: what is older is not used
-)
+REUSE_DELAY_S = 0.01  # after a response, before its connection is used again
+# of the time after which a host closes an idle connection; connections idle for longer are not used
+IDLE_TIMEOUT_FRACTION = 0.8
 
 
 class HostPool:
+    """Opens connections to hosts and keeps the idle ones, by host, for reuse."""
+
     def __init__(
         self, buffers: BufferPool, descriptors: DescriptorBudget, timers: Timers, idle: float, connect: float
     ) -> None:
+        """`idle` and `connect`: as for `set_timeouts`, in seconds."""
         self.buffers, self.descriptors, self.timers = buffers, descriptors, timers
         self.idle_timeout = self.connect_timeout = 0.0
-        self.idle_connections: OrderedDict[Connection, tuple] = OrderedDict()  # oldest first -> host, until
-        self.by_host: dict[tuple, list[Connection]] = {}  # emptied as they are used, end or expire
+        # oldest first -> host, usable until
+        self.idle_connections: OrderedDict[Connection, tuple] = OrderedDict()
+        self.by_host: dict[tuple, list[Connection]] = {}  # removed when used, closed or expired
         self.sweep_timer = None
         self.set_timeouts(idle, connect)
         descriptors.reclaimers.append(self.close_oldest)
 
     def set_timeouts(self, idle: float, connect: float) -> None:
-        """How long a host leaves an idle connection open, and how long a new one may take to come up."""
+        """Set how long hosts keep idle connections open and how long connecting may take, both in seconds."""
         while self.idle_timeout > idle * IDLE_TIMEOUT_FRACTION and self.close_oldest():
-            pass  # guards against kept ones that hosts now close earlier
+            pass  # hosts now close idle connections earlier than those were pooled for
         self.idle_timeout, self.connect_timeout = idle * IDLE_TIMEOUT_FRACTION, connect
 
     def take_idle(self, host: tuple) -> Connection | None:
-        """The one used last that has settled, if it is surely still good."""
+        """Return the most recently used idle connection to the host that is safe to reuse, or None."""
         now = time.monotonic()
         for connection in reversed(self.by_host.get(host, ())):
             _, usable_until = self.idle_connections[connection]
             if usable_until - self.idle_timeout > now - REUSE_DELAY_S:
-                continue  # guards against taking what comes behind its answer for the next one
+                continue  # bytes sent after its last response would be taken for the next response
             self._remove(connection)
             if usable_until > now and connection.is_idle():
                 return connection
@@ -46,7 +53,10 @@
         return None
 
     def open_connection(self, address: tuple, on_connected) -> Connection | ConnectionFailure:
-        """A new one, not yet up: `up(None or fault)` is called when it is, or is not to be."""
+        """Start a new connection; `on_connected` is called with None or with a ConnectionFailure.
+
+        Returns a ConnectionFailure instead if no descriptor or socket is available.
+        """
         if not self.descriptors.ensure_below(self.descriptors.max_open_for_hosts):
             return ConnectionFailure(Stage.UNTRIED, "no descriptor free")
         connection = Connection.for_address(address, self.buffers, self.descriptors)
@@ -66,6 +76,7 @@
         return connection
 
     def release(self, connection: Connection, host: tuple) -> None:
+        """Keep a connection that is no longer in use, until it is reused, closed or expired."""
         if connection.closed or not self.idle_timeout:
             return connection.close()
         self.idle_connections[connection] = host, time.monotonic() + self.idle_timeout
@@ -77,11 +88,13 @@
             )
 
     def close_idle(self, host: tuple) -> None:
+        """Close all idle connections to a host."""
         for connection in list(self.by_host.get(host, ())):
             self._remove(connection)
             connection.close()
 
     def close_oldest(self) -> bool:
+        """Close the connection that has been idle longest; return False if there is none."""
         if not self.idle_connections:
             return False
         connection = next(iter(self.idle_connections))
@@ -102,7 +115,7 @@
             del self.by_host[host]
 
     def _discard(self, connection: Connection) -> None:
-        """Ended, or written to unasked, while idle."""
+        """Close an idle connection that the peer has closed or sent unexpected bytes on."""
         if connection in self.idle_connections:
             self._remove(connection)
             connection.close()
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket."""
+"""The listening socket: accepts connections, with a delay after errors that would repeat at once."""
 
 import asyncio
 import errno
@@ -10,15 +10,15 @@
 from . import arrival
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_ITERATION = 128  # connections taken in a turn of the loop, before others come
-MAX_FAILURES_PER_ITERATION = 4  # in a row, before the backlog is left alone for a while
-RETRY_DELAY_S = 0.01  # seconds until the next look at the backlog, where one could not be taken ...
-MAX_RETRY_DELAY_S = 0.2  # ... doubled up to this while it goes on
-BIND_RETRY_DELAY_S = 0.05  # seconds between two tries to listen, or at the end of all
-BIND_ATTEMPTS = 40
-MAX_CLOSE_FAILURES = 64  # failures in a row at the last look at the backlog
-CLOSE_RETRY_DELAY_S = 0.001  # seconds after each
-# accept(2): what is wrong with the connection that would have been taken; the next one may be sound
+MAX_ACCEPTS_PER_ITERATION = 128  # connections accepted before the loop serves other events
+MAX_FAILURES_PER_ITERATION = 4  # consecutive failures before accepting pauses
+RETRY_DELAY_S = 0.01  # pause after a connection could not be accepted; doubled with each further pause
+MAX_RETRY_DELAY_S = 0.2
+BIND_RETRY_DELAY_S = 0.05  # between two attempts to listen
+BIND_ATTEMPTS = 40  # 2 s in all
+MAX_CLOSE_FAILURES = 64  # consecutive failures while the backlog is emptied at the end
+CLOSE_RETRY_DELAY_S = 0.001  # after each of these failures
+# errors of accept(2) that concern one pending connection; the next one may be sound
 CONNECTION_ERRORS = {
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -33,14 +33,15 @@
     errno.ETIMEDOUT,
     errno.ECONNRESET,
 }
-# what may pass by itself: another process may still hold the address for a moment
+# errors that may pass by themselves, such as an address that another process is about to release
 TRANSIENT_ERRORS = {errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE, errno.EAGAIN}
 
 
 def open_listening_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket that listens there; OSError, after two seconds where it might have passed.
+    """Return a socket that listens at the address.
 
-    Blocks: it is called before anything else runs.
+    Raises OSError, for transient errors only after retrying for 2 s. Blocks; call it before the event
+    loop runs.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     for attempts_left in reversed(range(BIND_ATTEMPTS)):
@@ -50,11 +51,11 @@
             if error.errno not in TRANSIENT_ERRORS or not attempts_left:
                 raise
             time.sleep(BIND_RETRY_DELAY_S)
-    raise AssertionError("the last try returns or raises")
+    raise AssertionError("the last attempt returns or raises")
 
 
 class Listener:
-    """Hands every connection to `take(socket)`, which says whether there is room for another one."""
+    """Passes every connection to `on_accept(socket)`, which returns whether there is room for another one."""
 
     def __init__(
         self,
@@ -63,19 +64,21 @@
         inherited: socket.socket | None = None,
         log=lambda event, **fields: None,
     ) -> None:
-        """`inherited`: a socket that listens there already, and goes on doing so when this process ends."""
+        """Listen at `address`, or use `inherited`: a listening socket that outlives this process.
+
+        Raises OSError if the address can't be listened at.
+        """
         self.inherited, self.log = inherited is not None, log
         self.socket = inherited if self.inherited else open_listening_socket(address)
         arrival.enable(self.socket)
         self.address, self.on_accept = self.socket.getsockname()[:2], on_accept
         self.accepting = self.paused = False
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.retry_delay, self.failures = (
-            RETRY_DELAY_S,
-            0,
-        )  # until the next look; failures since one was taken
+        # seconds of the next pause; failures since a connection was accepted
+        self.retry_delay, self.failures = RETRY_DELAY_S, 0
 
     def open(self) -> None:
+        """Start accepting on the running event loop."""
         self.accepting, self.loop = True, asyncio.get_running_loop()
         self.loop.add_reader(self.socket, self._accept_ready)
 
@@ -92,20 +95,19 @@
                 return self._back_off(str(error))
             self.failures, self.retry_delay = 0, RETRY_DELAY_S
             if not self.on_accept(sock):
-                return self._pause_for(
-                    RETRY_DELAY_S
-                )  # guards against a loop that spins on a backlog it can't empty
+                # without a pause, the loop would spin on a backlog that it can't empty
+                return self._pause_for(RETRY_DELAY_S)
             if not self.accepting:
                 return
 
     def _back_off(self, reason: str) -> None:
-        """Nothing can be taken now: not looked at again at once, which would take up a core."""
+        """Pause after an error that would repeat at once: retrying without a delay would use up a core."""
         self.log("accept failed", reason=reason, failed=self.failures, again_ms=int(self.retry_delay * 1000))
         self._pause_for(self.retry_delay)
         self.retry_delay = min(MAX_RETRY_DELAY_S, 2 * self.retry_delay)
 
     def _pause_for(self, seconds: float) -> None:
-        """Take none for so long."""
+        """Accept nothing for a time."""
         if self.accepting:
             self._stop_accepting()
             self.loop.call_later(seconds, self._reopen)
@@ -115,7 +117,10 @@
         self.loop.remove_reader(self.socket)
 
     def pause(self) -> None:
-        """Take no more for now; what waits is for whoever else listens here, or for later."""
+        """Stop accepting until `resume`.
+
+        Pending connections go to other processes that listen on this socket, or wait.
+        """
         self.paused = True
         if self.accepting:
             self._stop_accepting()
@@ -129,8 +134,10 @@
             self.open()
 
     def close(self) -> None:
-        """What the machine has accepted is taken first: it may carry something already. On an inherited
-        socket it is left to the next process."""
+        """Accept what is in the backlog, which may carry requests already, and close the socket.
+
+        The backlog of an inherited socket is left to the next process.
+        """
         self.pause()
         failed = 0
         while not self.inherited and self.socket.fileno() >= 0 and failed < MAX_CLOSE_FAILURES:
@@ -138,11 +145,11 @@
                 sock, _ = self.socket.accept()
             except BlockingIOError:
                 break
-            except OSError:  # of a moment, or of one connection: others may wait behind it
+            except OSError:  # transient, or of one connection: others may be pending behind it
                 failed += 1
                 time.sleep(CLOSE_RETRY_DELAY_S)
                 continue
             failed = 0
             sock.setblocking(False)
-            self.on_accept(sock)  # the reserve is for this: nobody comes after them
+            self.on_accept(sock)  # uses reserved descriptors: no connection comes after these
         self.socket.close()
--- a/basalthook/transport/timers.py
+++ b/basalthook/transport/timers.py
@@ -1,28 +1,31 @@
-"""One structure for every timer of the program: a heap with one wake-up of the event loop."""
+"""All timers of the program: a heap of entries, with a single wake-up call on the event loop."""
 
 import asyncio
 from heapq import heapify, heappop, heappush
 
-COMPACT_THRESHOLD = 256  # cancelled ones are swept out once there are so many, and more than half of all
+# the heap is compacted with more cancelled entries than this, if they are over half of it
+COMPACT_THRESHOLD = 256
 
 
 class Timers:
-    """`now()` gives whole ticks, `second` is how many of them make one.
+    """A timer heap on the clock `now()`, which counts whole ticks.
 
-    Emptied as they fall due; cancelled ones as their turn comes, or once they are more than half.
+    An entry is removed when it is due; a cancelled one also when the heap is compacted.
     """
 
     def __init__(self, now, ticks_per_second: int, call_later=None) -> None:
-        """`call_later(seconds, call)` gives what can be cancelled; by default the running loop's."""
+        """`call_later(seconds, callback)` returns a handle with `cancel()`; by default the running loop's
+        is used."""
         self.now, self.ticks_per_second = now, ticks_per_second
         self.call_later = call_later or (lambda *args: asyncio.get_running_loop().call_later(*args))
-        self.heap: list[list] = []  # due, order set, call (None: cancelled), what it is given
+        # due time in ticks, sequence, callback (None: over or cancelled), arguments
+        self.heap: list[list] = []
         self.sequence = self.cancelled = 0
         self.wakeup_handle: asyncio.TimerHandle | None = None
-        self.wakeup_at = 0  # for when, while there is an alarm
+        self.wakeup_at = 0  # due time in ticks, valid while there is a handle
 
     def set(self, delay: int, callback, *args) -> list:
-        """Call it that many ticks from now; what comes back can be cancelled."""
+        """Call `callback(*args)` after `delay` ticks; return an entry for `cancel`."""
         self.sequence += 1
         entry = [self.now() + delay, self.sequence, callback, args]
         heappush(self.heap, entry)
@@ -31,7 +34,7 @@
         return entry
 
     def cancel(self, entry: list | None) -> None:
-        """No effect on one that is over, or cancelled already."""
+        """Cancel an entry; no effect on None, or if it is over or cancelled already."""
         if entry is not None and entry[2] is not None:
             entry[2], entry[3] = None, ()
             self.cancelled += 1
@@ -41,7 +44,7 @@
                 self.cancelled = 0
 
     def run(self, overdue: int = 0) -> None:
-        """Call all that are due, in order; only those that are late by so many ticks, if told."""
+        """Call all entries that have been due for at least `overdue` ticks, in order."""
         now = self.now() - overdue
         while self.heap and (self.heap[0][0] <= now or self.heap[0][2] is None):
             entry = heappop(self.heap)
@@ -53,6 +56,7 @@
                 callback(*args)
 
     def close(self) -> None:
+        """Drop all timers."""
         if self.wakeup_handle is not None:
             self.wakeup_handle.cancel()
         self.heap.clear()
@@ -69,7 +73,7 @@
         try:
             self.run()
         finally:
-            # guards against an alarm that what ran just now has set for later than others are due: these
-            # then waited for it, and answers came up to half a second after their hard limit
+            # A callback may have set a wake-up that is later than the earliest remaining entry. Entries then
+            # waited for it, and answers came up to 0.5 s after their hard limit.
             if self.heap and (self.wakeup_handle is None or self.heap[0][0] < self.wakeup_at):
                 self._schedule_wakeup(self.heap[0][0])
