--- a/basalthook/protocol/__init__.py
+++ b/basalthook/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 and the application's, hosts' and discovery's messages; no I/O."""
+"""HTTP/1.1 and the messages of the application, of hosts, of discovery and of other proxies. No I/O."""
--- a/basalthook/protocol/catalogue.py
+++ b/basalthook/protocol/catalogue.py
@@ -1,4 +1,4 @@
-"""Discovery's messages: the call for the host list, and the lists that come back."""
+"""The messages exchanged with discovery: requests for the host list, and the lists it returns."""
 
 import ipaddress
 from functools import lru_cache
@@ -14,6 +14,8 @@
 
 
 class HostRecord(NamedTuple):
+    """One host of the list. It is stored by position at a hand-over, so the order of the fields is fixed."""
+
     id: str
     address: tuple[str, int]
     zone: str
@@ -27,19 +29,25 @@
 
 
 class HostList(NamedTuple):
+    """A version of the host list: all hosts if `complete`, else the changed ones."""
+
     version: int
     complete: bool
-    records: tuple[HostRecord, ...]  # one a host
-    duplicates: int = 0  # lines of hosts named before in the same list, of which one counts
+    records: tuple[HostRecord, ...]  # one per host
+    duplicates: int = 0  # further records of hosts that the same list names already; they are ignored
 
 
 def watch_request(host: str, version: int | None, wait_ms: int) -> bytes:
-    """A watch for what is newer than this version; None: the whole list, now."""
+    """Return a request that waits up to `wait_ms` for changes after `version`.
+
+    With None for `version`, it asks for the whole list at once.
+    """
     query = "" if version is None else f"?index={version}&wait={wait_ms}"
     return http1.request("GET", MEMBERS_PATH + query, [("Host", host)])
 
 
 def parse_address(value: str, min_port: int = 1) -> tuple[str, int]:
+    """Return IP address and port of `IP:PORT`. Raises ValueError if it is malformed."""
     host, _, port = value.rpartition(":")
     host = str(ipaddress.ip_address(host.strip("[]")))
     if not min_port <= int(port) < 65536:
@@ -47,11 +55,13 @@
     return host, int(port)
 
 
-# a list comes again and again with the same addresses; text alone, bounded by the largest list
+# lists repeat the same addresses; the cache holds those of the largest list
 parse_address_cached = lru_cache(8_192)(parse_address)
 
 
 def parse_host_record(entry: dict) -> HostRecord:
+    """Return the record of one entry. Raises ValueError, TypeError, KeyError or OverflowError if it is
+    bad."""
     if None in entry.values():
         entry = {name: value for name, value in entry.items() if value is not None}
     state, get = entry["state"], entry.get
@@ -70,13 +80,16 @@
 
 
 def parse_host_list(document: dict) -> HostList | None:
-    """None for what is no whole, sound list: a part of one would be followed as if it were all."""
+    """Return the list of a decoded document, or None if any part of it is malformed.
+
+    Part of a list must not be used, as it would be taken for the whole one.
+    """
     try:
         records = tuple(parse_host_record(entry) for entry in document["servers"])
         if not all(entry.id and entry.weight > 0 for entry in records):
             return None
         by_id = {record.id: record for record in records}
-        if len(by_id) < len(records):  # guards against a host that leaves by one line and is up by another
+        if len(by_id) < len(records):  # of several records of a host the one that is least available counts
             for record in records:
                 by_id[record.id] = min(by_id[record.id], record, key=lambda x: (x.ready, not x.removed))
         return HostList(
@@ -87,6 +100,7 @@
 
 
 def decode_host_list(body: bytes) -> HostList | None:
+    """Return the list of a response body, or None if it is malformed."""
     try:
         return parse_host_list(orjson.loads(body))
     except orjson.JSONDecodeError:
--- a/basalthook/protocol/hosts.py
+++ b/basalthook/protocol/hosts.py
@@ -1,14 +1,17 @@
-"""A hop on the wire: the message that goes to a host, and what its answer means."""
+"""The messages exchanged with hosts: the request of an attempt, and what its response proves."""
 
 from ..policy import interface as i
 from .application import FIELDS_SET_PER_ATTEMPT
 from .http1 import Message
 
-PARSED_FIELDS = ("not-started",)  # what the parser of hosts' answers looks for
+PARSED_FIELDS = ("not-started",)  # fields that the parser of responses extracts
 
 
 def attempt_request(message: Message, time_limit: float) -> tuple[bytes, ...]:
-    """The transaction unchanged, with the time that we will wait; head and body, written in one call."""
+    """Return the request of an attempt as its parts: the head, and the body if there is one.
+
+    The transaction is passed on unchanged, with the time limit of this attempt in seconds.
+    """
     body = message.body
     framing = b"Content-Length: %d\r\n" % len(body) if body or message.method not in ("GET", "HEAD") else b""
     head = b"%b %b HTTP/1.1\r\n%bRequest-Timeout: %.4f\r\n%b\r\n" % (
@@ -21,15 +24,18 @@
     return (head, body) if body else (head,)
 
 
-TRANSIENT_STATUSES = {408, 425, 429}  # of 4xx: these speak of the moment, not of the message
+TRANSIENT_STATUSES = {408, 425, 429}  # 4xx statuses that concern the moment, not the message
 
 
 def classify_response(response: Message, written: bool) -> str:
-    """What an answer proves. One that came before the whole hop was written can't be a commit."""
+    """Return the outcome that a response proves.
+
+    `written`: whether the whole request was written before it came; otherwise it can't prove a commit.
+    """
     if response.status in (503, 504) and response.field("not-started") == "1":
         return i.REFUSED
     if response.status == 200:
         return i.COMMITTED if written else i.ERROR
     if written and 400 <= response.status < 500 and response.status not in TRANSIENT_STATUSES:
-        return i.DECLINED  # guards against blaming hosts, and asking further ones, for a bad transaction
+        return i.DECLINED  # a bad transaction: no fault of the host, and not to be tried at others
     return i.ERROR
--- a/basalthook/protocol/http1.py
+++ b/basalthook/protocol/http1.py
@@ -1,8 +1,8 @@
-"""An incremental HTTP/1.1 parser and a writer. Bytes in, messages out; no I/O.
+"""An incremental HTTP/1.1 parser and a writer. No I/O.
 
-Strict where leniency would let two readers see two different messages: line ends, lengths, transfer codings.
-A head is read in one pass of compiled expressions: one checks it whole, one finds the fields that decide; the
-rest is carried as the bytes that came.
+The parser is strict where leniency would let two recipients read different messages (request smuggling): line
+ends, lengths and transfer codings. A head is read with two compiled expressions: one validates it, the other
+extracts the fields that are needed. All other fields are passed on as received.
 """
 
 import re
@@ -11,11 +11,11 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_STREAMED_BODY_BYTES = 1024**3  # of a body that goes on in pieces: one that says more is no sound message
+MAX_STREAMED_BODY_BYTES = 1024**3  # a message that announces a longer body is rejected
 MAX_INTERIM_RESPONSES = 64
-MAX_CHUNK_LINE_BYTES = 256  # of a chunk's size line
+MAX_CHUNK_LINE_BYTES = 256  # of the size line of a chunk, or of a trailer
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]++"
-# possessive, so that a head that does not match costs one pass and no more
+# possessive quantifiers: a head that does not match costs no backtracking
 FIELD_LINES = rb"(?:" + TOKEN + rb":[\t\x20-\x7e\x80-\xff]*+\r\n)*+"
 REQUEST_HEAD = re.compile(rb"(" + TOKEN + rb") ([\x21-\x7e]++) HTTP/(\d)\.(\d)\r\n" + FIELD_LINES)
 RESPONSE_HEAD = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: [\t\x20-\x7e\x80-\xff]*+)?\r\n" + FIELD_LINES)
@@ -30,65 +30,68 @@
 
 @lru_cache(maxsize=64)
 def compile_field_pattern(*names: str) -> re.Pattern[bytes]:
-    """Finds every field of these names in a head whose lines each end with CRLF, the start line included."""
+    """Return a pattern for all fields of these names, in a head of lines that each end with CRLF."""
     return re.compile(rb"\r\n(" + b"|".join(re.escape(n.encode()) for n in names) + rb"):([^\r\n]*+)", re.I)
 
 
 @lru_cache(maxsize=64)
 def compile_field_line_pattern(*names: str) -> re.Pattern[bytes]:
-    """Matches whole lines of these names, to leave them out of a message that goes on."""
-    either = b"|".join(re.escape(n.encode()) for n in names)
-    return re.compile(rb"^(?:" + either + rb"):[^\n]*+\n", re.I | re.M)
+    """Return a pattern for the whole lines of these fields, to remove them from a message."""
+    alternatives = b"|".join(re.escape(n.encode()) for n in names)
+    return re.compile(rb"^(?:" + alternatives + rb"):[^\n]*+\n", re.I | re.M)
 
 
 class Message(NamedTuple):
-    """A whole message."""
+    """A parsed message, or the head of one whose body is streamed."""
 
-    method: str  # requests
+    method: str  # of a request
     target: str
-    status: int  # responses
-    field_lines: bytes  # its field lines as they came, each with its CRLF
-    parsed_fields: dict[str, list[str]]  # values of the fields that were looked for, names in lower case
+    status: int  # of a response
+    field_lines: bytes  # as received, each with its CRLF
+    parsed_fields: dict[str, list[str]]  # values of extracted fields, by name in lower case
     body: bytes
-    keep_alive: bool  # the connection can be used again
-    delimited: bool  # its own framing told where it ends, not the connection's end
-    minor_version: int = 1  # of its version, HTTP/1.x
-    length: int | None = None  # of a body that is not all here: as its head says, None if it does not
+    keep_alive: bool  # the connection can be reused
+    delimited: bool  # ended by its own framing, not by the end of the connection
+    minor_version: int = 1  # HTTP/1.x
+    length: int | None = None  # of a streamed body, if the head announces it
 
     def values(self, name: str) -> list[str]:
-        """Of all fields of this name (lower case), in order."""
+        """Return the values of all fields of this name (lower case), in order."""
         if name in self.parsed_fields:
             return self.parsed_fields[name]
-        result = compile_field_pattern(name).finditer(b"\r\n" + self.field_lines)
-        return [field[2].strip(b" \t").decode("latin-1") for field in result]
+        matches = compile_field_pattern(name).finditer(b"\r\n" + self.field_lines)
+        return [field[2].strip(b" \t").decode("latin-1") for field in matches]
 
     def field(self, name: str) -> str | None:
-        """The first of this name."""
+        """Return the first value of this field, or None."""
         return next(iter(self.values(name)), None)
 
     def connection_options(self) -> set[str]:
-        """What its Connection fields name."""
+        """Return the options of its Connection fields, in lower case."""
         return {o.strip().lower() for v in self.parsed_fields.get("connection", ()) for o in v.split(",")}
 
     def field_lines_without(self, *names: str) -> bytes:
-        """Its field lines less those of these names, and less those that its Connection field names."""
-        more = (
+        """Return its field lines without these fields and those that its Connection field names."""
+        listed = (
             self.connection_options() - {"", KEEP_ALIVE, CLOSE} if "connection" in self.parsed_fields else ()
         )
-        return compile_field_line_pattern(*names, *sorted(more)).sub(b"", self.field_lines)
+        return compile_field_line_pattern(*names, *sorted(listed)).sub(b"", self.field_lines)
 
 
 class Rejection(NamedTuple):
-    status: int  # what a server answers to it
+    """Why a message is not accepted."""
+
+    status: int  # of the response to it
     reason: str
 
 
 class Parser:
-    """Feed it bytes; `found` is then a whole `Message`, `Malformed`, or None while more is needed.
+    """Parses one message after the other from the bytes it is fed.
 
-    Bytes past the end of a message stay in `rest`; `again` starts on the next message. A body of more than
-    `body_most` is an error, or, where `long` ones are taken, makes `begun` the Message as far as its head
-    tells it: from then on `take_body` gives what has come of the body, and `found` has none.
+    `result` is None until a message is complete, then a `Message` or a `Rejection`. Bytes after the end
+    of a message stay in `unparsed`; `next_message` starts on the next one. A body of more than `max_body`
+    bytes is rejected. If `streaming` is set, it makes `streamed_head` the Message without its body
+    instead; from then on `take_body` returns the parts of the body, and the body of `result` is empty.
     """
 
     def __init__(
@@ -99,8 +102,11 @@
         streaming: bool = False,
         max_undelimited_body: int | None = None,
     ) -> None:
-        """`wanted`: names of fields that whoever reads the message will ask for, in lower case. `open_most`:
-        of a body whose length nobody told, in place of `body_most`."""
+        """Create a parser of responses or requests.
+
+        `field_names`: fields to extract, in lower case. `max_undelimited_body`: replaces `max_body` for a
+        body whose head does not announce its length.
+        """
         self.responses, self.max_body, self.streaming = responses, max_body, streaming
         self.max_undelimited_body = max_body if max_undelimited_body is None else max_undelimited_body
         self.field_pattern, self.head_pattern = (
@@ -111,32 +117,35 @@
         self.next_message()
 
     def next_message(self) -> None:
+        """Start on the next message; bytes in `unparsed` are parsed at the next `feed`."""
         self.result: Message | Rejection | None = None
         self.started = bool(self.unparsed)
         self.body, self.remaining, self.scanned, self.interims = bytearray(), 0, 0, 0
         self.head: tuple | None = None
         self.streamed_head: Message | None = None
-        self.state = Parser._head  # not bound: that would be a circle that holds the body
+        # an unbound function: a bound one would be a reference cycle that retains the body
+        self.state = Parser._head
 
     def feed(self, data) -> None:
+        """Parse more bytes."""
         self.unparsed += data
         self.started = self.started or bool(self.unparsed)
         while self.result is None and self.state(self):
             pass
 
     def feed_eof(self) -> None:
-        """The connection has ended."""
+        """Note the end of the connection, which completes a body without other framing."""
         if self.result is None and self.head is not None and self.state is Parser._until_close:
             self._finish(keep_alive=False, delimited=False)
 
     def take_body(self) -> bytearray:
-        """What has come of a long body since the last time."""
+        """Return and remove what has been received of a streamed body."""
         body, self.body = self.body, bytearray()
         return body
 
     @property
     def expects_continue(self) -> bool:
-        """The head is there and asks to be told before the body is sent."""
+        """Whether the head is complete and the sender waits for 100 Continue before it sends the body."""
         return (
             self.result is None
             and self.head is not None
@@ -145,25 +154,25 @@
             and any(v.lower() == "100-continue" for v in self.head[4].get("expect", ()))
         )
 
-    # ---- the states: each takes what it can from `rest` and says whether another look is worth while
+    # ---- states: each consumes from `unparsed` and returns whether parsing can go on without more bytes
 
     def _head(self) -> bool:
         unparsed = self.unparsed
         if not self.responses and unparsed.startswith(b"\r\n"):
-            del unparsed[:2]  # an empty line before a request is passed over
+            del unparsed[:2]  # empty lines before a request are ignored
             self.scanned = 0
             return True
-        at = unparsed.find(b"\r\n\r\n", max(0, self.scanned - 3))
-        if at < 0 or at + 4 > MAX_HEAD_BYTES:
+        end = unparsed.find(b"\r\n\r\n", max(0, self.scanned - 3))
+        if end < 0 or end + 4 > MAX_HEAD_BYTES:
             if BARE_LINE_FEED.search(unparsed, max(0, self.scanned - 1)):
-                return self._reject(400, "bare line end")  # its sender takes the head for ended
+                return self._reject(400, "bare line end")  # to its sender the head may have ended here
             self.scanned = len(unparsed)
-            return self._reject(431, "head too long") if self.scanned > MAX_HEAD_BYTES or at >= 0 else False
-        head = bytes(unparsed[: at + 2])
-        del unparsed[: at + 4]
-        self.scanned = 0  # guards against missing a short head behind an interim one
-        line = self.head_pattern.fullmatch(head)
-        if line is None:
+            return self._reject(431, "head too long") if self.scanned > MAX_HEAD_BYTES or end >= 0 else False
+        head = bytes(unparsed[: end + 2])
+        del unparsed[: end + 4]
+        self.scanned = 0  # else a short head after an interim response would be missed
+        match = self.head_pattern.fullmatch(head)
+        if match is None:
             return self._reject(
                 400, "no start line" if self.head_pattern.match(head) is None else "bad field line"
             )
@@ -174,13 +183,13 @@
                 parsed_fields[name].append(value.decode("latin-1").strip(" \t"))
             else:
                 parsed_fields[name] = [value.decode("latin-1").strip(" \t")]
-        return self._start(line, head[head.index(b"\n") + 1 :], parsed_fields)
+        return self._start(match, head[head.index(b"\n") + 1 :], parsed_fields)
 
-    def _start(self, line, field_lines: bytes, parsed_fields: dict[str, list[str]]) -> bool:
+    def _start(self, match, field_lines: bytes, parsed_fields: dict[str, list[str]]) -> bool:
         if self.responses:
-            version, method, target, status = (line[1], line[2]), "", "", int(line[3])
+            version, method, target, status = (match[1], match[2]), "", "", int(match[3])
         else:
-            version, method, target, status = (line[3], line[4]), line[1].decode(), line[2].decode(), 0
+            version, method, target, status = (match[3], match[4]), match[1].decode(), match[2].decode(), 0
         if version[0] != b"1":
             return self._reject(505, "not HTTP/1")
         lengths, codings = parsed_fields.get("content-length", ()), parsed_fields.get("transfer-encoding", ())
@@ -200,7 +209,7 @@
             }
             keep_alive = CLOSE not in connection_options and (keep_alive or KEEP_ALIVE in connection_options)
         if self.responses and 100 <= status < 200 and status != 101:
-            self.interims += 1  # an interim answer; the next head follows
+            self.interims += 1  # another head follows
             return (
                 True
                 if self.interims <= MAX_INTERIM_RESPONSES
@@ -273,35 +282,35 @@
         line = self._line()
         if line is None:
             return self.result is not None
-        self.scanned += len(line) + 2  # trailers are passed over, as many as a head may be long
+        self.scanned += len(line) + 2  # trailers are ignored, up to the size of a head
         if self.scanned > MAX_HEAD_BYTES:
             return self._reject(431, "trailers too long")
         if line and TRAILER.fullmatch(line) is None:
             return self._reject(400, "bad trailer")
         return True if line else self._finish()
 
-    # ---- pieces of them
+    # ---- helpers of the states
 
     def _line(self) -> bytes | None:
-        at = self.unparsed.find(b"\r\n", 0, MAX_CHUNK_LINE_BYTES)
-        if at < 0:
+        end = self.unparsed.find(b"\r\n", 0, MAX_CHUNK_LINE_BYTES)
+        if end < 0:
             if len(self.unparsed) >= MAX_CHUNK_LINE_BYTES:
                 self._reject(400, "line too long")
             return None
-        line = bytes(self.unparsed[:at])
-        del self.unparsed[: at + 2]
+        line = bytes(self.unparsed[:end])
+        del self.unparsed[: end + 2]
         return line
 
     def _consume(self, count: int) -> None:
         if not self.body and count == len(self.unparsed):
-            self.body, self.unparsed = self.unparsed, bytearray()  # the ordinary case: handed on, not copied
+            self.body, self.unparsed = self.unparsed, bytearray()  # the usual case: moved, not copied
             return
         with memoryview(self.unparsed) as unparsed, unparsed[:count] as part:
             self.body += part
         del self.unparsed[:count]
 
     def _accept_size(self, size: int, length: int | None = None) -> bool:
-        """Whether a body may be so long."""
+        """Accept, stream or reject a body of at least `size` bytes; `length` is its announced length."""
         if (
             size > (self.max_undelimited_body if length is None else self.max_body)
             and self.streamed_head is None
@@ -324,12 +333,14 @@
 
 
 def head(line: str, fields) -> bytes:
+    """Return the head of a message: its start line, and fields as pairs of name and value."""
     return "\r\n".join([line, *(f"{n}: {v}" for n, v in fields), "", ""]).encode("latin-1")
 
 
 def request(method: str, target: str, fields, body: bytes = b"") -> bytes:
-    sized = [("Content-Length", str(len(body)))] if body or method not in ("GET", "HEAD") else []
-    return head(f"{method} {target} HTTP/1.1", [*fields, *sized]) + body
+    """Return the bytes of a request."""
+    framing = [("Content-Length", str(len(body)))] if body or method not in ("GET", "HEAD") else []
+    return head(f"{method} {target} HTTP/1.1", [*fields, *framing]) + body
 
 
 PHRASES = {
@@ -351,5 +362,6 @@
 
 
 def response(status: int, fields, body: bytes, keep_alive: bool) -> bytes:
+    """Return the bytes of a response."""
     framing = [("Content-Length", str(len(body)))] + ([] if keep_alive else [("Connection", "close")])
     return head(f"HTTP/1.1 {status} {PHRASES.get(status, 'Status')}", [*fields, *framing]) + body
--- a/basalthook/simwire/__init__.py
+++ b/basalthook/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the bench's wire: a codec and a process loop, no decisions."""
+"""The adapter to the simulator's wire protocol: a codec and a process loop. It makes no decisions."""
--- a/basalthook/simwire/__main__.py
+++ b/basalthook/simwire/__main__.py
@@ -1,4 +1,5 @@
-"""The process loop: a batch on a line of standard input, a reply on a line of standard output."""
+"""The process loop: reads one batch per line from standard input, writes one reply per line to standard
+output."""
 
 import sys
 
@@ -13,8 +14,8 @@
     for line in read:
         try:
             reply = processor.process(orjson.loads(line))
-        except Exception as fault:  # the bench ends the run on it; the trace is for whoever reads the log
-            sys.stderr.write(f"basalthook: cannot go on after {line[:200]!r}: {fault!r}\n")
+        except Exception as error:  # the simulator ends the run; the traceback goes to its log
+            sys.stderr.write(f"basalthook: cannot go on after {line[:200]!r}: {error!r}\n")
             raise
         write(orjson.dumps(reply) + b"\n")
         flush()
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -1,4 +1,5 @@
-"""Words, units and ids of the bench's wire, turned into the events and effects of the decisions."""
+"""Translates names, units and ids of the simulator's wire protocol to and from events and effects of the
+policy."""
 
 from .. import terms
 from ..fleet.counting import Counting
@@ -21,60 +22,67 @@
 
 
 class Instance:
-    """One instance: its decisions, and its ids against the small numbers that stand for them."""
+    """One proxy instance: its policy state, and the small integers that stand for ids on the wire."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.agreement(setup), seed, now)
         self.decider = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
         self.profiles = terms.profiles(setup)
-        self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
+        # address -> index; grows with every host ever listed, until a restart
+        self.hosts: dict[str, int] = {}
         self.addresses: list[str] = []
-        self.host_hashes: list[int] = []  # of the same: hashed once, as lists come often
-        self.host_by_hash: dict[int, int] = {}  # and back; news name hosts by them
-        self.tx_numbers: dict[
-            str, int
-        ] = {}  # open transactions; emptied when one is closed and no hop is out
-        self.transactions: dict[int, list] = {}  # number -> [word, hops out, closed]
+        self.host_hashes: list[int] = []  # by index; hashed once, as lists arrive often
+        self.host_by_hash: dict[int, int] = {}  # messages between proxies name hosts by hash
+        # of open transactions; removed once closed with no attempt open
+        self.tx_numbers: dict[str, int] = {}
+        self.transactions: dict[int, list] = {}  # number -> [wire id, open attempts, closed]
         self.next_number = 0
 
     def host_index(self, address: str) -> int:
-        known = self.hosts.get(address)
-        if known is None:
-            known = self.hosts[address] = len(self.addresses)
+        """Return the index of a host, assigning one if it is new."""
+        index = self.hosts.get(address)
+        if index is None:
+            index = self.hosts[address] = len(self.addresses)
             self.addresses.append(address)
             self.host_hashes.append(terms.number(address))
-            self.host_by_hash[self.host_hashes[known]] = known
-        return known
+            self.host_by_hash[self.host_hashes[index]] = index
+        return index
 
     def decode_hosts(self, records: list) -> tuple:
+        """Return the hosts of a list."""
         return tuple(
             terms.host(
-                number,
-                self.host_hashes[number],
-                r.get("area", ""),
-                r.get("block", 0),
-                r["status"] == "in_service",
-                r.get("capacity_hint"),
-                r.get("came_up_ns"),
-                r.get("sku", ""),
-                r["status"] == "terminating",
+                index,
+                self.host_hashes[index],
+                record.get("area", ""),
+                record.get("block", 0),
+                record["status"] == "in_service",
+                record.get("capacity_hint"),
+                record.get("came_up_ns"),
+                record.get("sku", ""),
+                record["status"] == "terminating",
             )
-            for r in records
-            for number in (self.host_index(r["host"]),)
+            for record in records
+            for index in (self.host_index(record["host"]),)
         )
 
-    def _release(self, tx: int, hops: int = 0, closed: bool = False) -> None:
+    def _release(self, tx: int, attempts: int = 0, closed: bool = False) -> None:
+        """Update a transaction, by a change of its open attempts, and forget it if nothing more can
+        concern it."""
         entry = self.transactions.get(tx)
         if entry is None:
             return
-        entry[1] += hops
+        entry[1] += attempts
         entry[2] = entry[2] or closed
         if entry[2] and not entry[1]:
             del self.transactions[tx]
             del self.tx_numbers[entry[0]]
 
     def decode_event(self, name: str, fields: dict, lists: dict) -> tuple | None:
-        """The event in our words; None where it speaks of what is already closed here."""
+        """Return the event that a wire event stands for, or None if it concerns what is closed here already.
+
+        Raises ValueError for an unknown name.
+        """
         if name == "QUERY":
             tx = self.tx_numbers[fields["corr"]] = self.next_number
             self.next_number += 1
@@ -120,24 +128,25 @@
                 answered=fields["scope"] != "restored",
             )
         if name == "INBOX":
-            what, mark = news.decode_hex(fields.get("payload")) or (None, None)
+            kind, host_hash = news.decode_hex(fields.get("payload")) or (None, None)
             return (
-                i.NewsCame(fields["src"], self.host_by_hash[mark], what)
-                if mark in self.host_by_hash
+                i.NewsCame(fields["src"], self.host_by_hash[host_hash], kind)
+                if host_hash in self.host_by_hash
                 else None
             )
         if name == "PONG":
-            return None  # nothing is probed
+            return None  # this proxy sends no probes
         raise ValueError(f"unknown event {name}")
 
     def encode_decision(self, effect: tuple) -> dict:
+        """Return the wire form of an effect."""
         kind = type(effect)
         if kind is i.SendHop:
-            word = self.transactions[effect.tx]
-            word[1] += 1
+            entry = self.transactions[effect.tx]
+            entry[1] += 1
             return {
                 "FORWARD": {
-                    "corr": word[0],
+                    "corr": entry[0],
                     "host": self.addresses[effect.host],
                     "allow_for_ns": effect.time_limit * TENTH,
                 }
@@ -145,13 +154,13 @@
         if kind is i.SetTimer:
             return {"SLEEP": {"delay_ns": effect.delay * TENTH, "mark": effect.mark}}
         if kind is i.RollBack:
-            word = self.transactions[effect.tx][0]
+            tx_id = self.transactions[effect.tx][0]
             self._release(effect.tx, 0, True)
-            return {"SHED": {"corr": word, "stay_away_ns": effect.come_back * TENTH}}
+            return {"SHED": {"corr": tx_id, "stay_away_ns": effect.come_back * TENTH}}
         if kind is i.Abandon:
-            word = self.transactions[effect.tx][0]
+            tx_id = self.transactions[effect.tx][0]
             self._release(effect.tx, 0, True)
-            return {"ABORT": {"corr": word}}
+            return {"ABORT": {"corr": tx_id}}
         if kind is i.CancelHop:
             return {"REVOKE": {"corr": self.transactions[effect.tx][0], "hop": effect.hop}}
         if kind is i.TellNews:
@@ -165,13 +174,15 @@
 
 
 class BatchProcessor:
-    """All instances of one process; they share the numbered lists of the wire and nothing else."""
+    """Handles batches for all instances of one process; they share only the numbered host lists of the
+    wire."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, list] = {}  # at most sixteen, each replaced by the next of its number
+        self.lists: dict[int, list] = {}  # by slot; at most 16, each replaced by the next list for its slot
 
     def process(self, batch: dict) -> dict:
+        """Return the reply to a batch."""
         now, parts = batch["ts_ns"] // TENTH, []
         for part in batch["parts"]:
             who, decisions = part["who"], []
@@ -184,7 +195,7 @@
                     decisions += map(instance.encode_decision, instance.decider.begin())
                 elif name == "KILL":
                     self.instances.pop(who, None)
-                    decisions.clear()  # what was decided before in this batch died with it
+                    decisions.clear()  # decisions made earlier in this batch are lost with the instance
                 else:
                     instance = self.instances[who]
                     decoded = instance.decode_event(name, fields, self.lists)
