--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests listed in KNOWN-RED.txt are passed over, and printed; all others run."""
+"""Deselects the tests listed in KNOWN-RED.txt and prints them in the header; all other tests run."""
 
 import pytest
 
@@ -16,11 +16,11 @@
     if unknown:
         raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(unknown)}")
     if not config.getoption("--known-red"):
-        red = {entry.test for entry in entries}
-        config.hook.pytest_deselected(items=[item for item in items if item.nodeid in red])
-        items[:] = [item for item in items if item.nodeid not in red]
+        known_failures = {entry.test for entry in entries}
+        config.hook.pytest_deselected(items=[item for item in items if item.nodeid in known_failures])
+        items[:] = [item for item in items if item.nodeid not in known_failures]
 
 
 def pytest_report_header(config):
-    passed_over = [] if config.getoption("--known-red") else known_red.read()
-    return [f"KNOWN RED, not run: {entry.test} ({entry.seen}; issue {entry.issue})" for entry in passed_over]
+    deselected = [] if config.getoption("--known-red") else known_red.read()
+    return [f"KNOWN RED, not run: {entry.test} ({entry.seen}; issue {entry.issue})" for entry in deselected]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: the tests that fail because of a real fault, and that a run passes over by name."""
+"""Reads KNOWN-RED.txt: the tests that fail because of a real fault, and that a run deselects by name."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -9,16 +9,16 @@
 
 
 class Entry(NamedTuple):
-    """One line of the file."""
+    """One entry, which is one line of the file."""
 
-    test: str  # pytest's id of it, or what finds the fault where that is no test of the suite
-    command: str  # and seed
-    seen: str
+    test: str  # its pytest node id, or a command that shows the fault if no test does
+    command: str  # with its seed
+    seen: str  # the observed failure
     issue: str
 
 
 def read(path: Path = PATH) -> list[Entry]:
-    """All entries; ValueError for a line that is none."""
+    """Return all entries. Raises ValueError for a malformed line."""
     entries = []
     for line in path.read_text("utf-8").splitlines() if path.exists() else ():
         if line.strip() and not line.startswith("#"):
@@ -30,7 +30,7 @@
 
 
 def by_file(ids: Iterable[str]) -> dict[str, set[str]]:
-    """Pytest's ids, by the file in which each test is."""
+    """Group pytest node ids by file."""
     found: dict[str, set[str]] = {}
     for test in ids:
         found.setdefault(test.split("::")[0], set()).add(test)
@@ -38,11 +38,11 @@
 
 
 def unknown(entries: list[Entry], collected: dict[str, set[str]], root: Path) -> list[str]:
-    """Ids that name no test: there is no such file, or it was collected and has no such test."""
+    """Return the ids that name no test: the file does not exist, or it was collected and lacks the test."""
     found = []
     for entry in entries:
         file = entry.test.split("::")[0]
-        if "::" not in entry.test:  # a command that finds the fault, as the lab's soak
+        if "::" not in entry.test:  # a command that shows the fault, such as the lab's soak
             continue
         if not (root / file).is_file() or file in collected and entry.test not in collected[file]:
             found.append(entry.test)
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The measurements themselves: they start from what operators write, and count what they say they count."""
+"""The benchmarks: they start from a valid start-up file, and measure what they report."""
 
 import asyncio
 import unittest
@@ -10,20 +10,21 @@
 
 
 class Measurements(unittest.TestCase):
-    def test_the_start_up_file_is_one_that_serve_takes(self):
-        told = decode(path.start_up(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {})
+    def test_the_start_up_file_is_accepted_by_serve(self):
+        settings = decode(path.start_up(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {})
         self.assertEqual(
-            (len(told.known.records), told.profiles, told.agreed.warm_keys),
+            (len(settings.known.records), settings.profiles, settings.agreed.warm_keys),
             (2, {"read": 0, "write": 1}, True),
         )
 
     def test_every_kind_of_event_is_timed(self):
         for waiting in (False, True):
-            found = decisions.play(10, 1_000, waiting)
-            due = decisions.EVENTS if waiting else decisions.EVENTS[:2]  # else nothing waits
-            self.assertTrue(all(found[name] > 0 for name in due), found)
+            times = decisions.play(10, 1_000, waiting)
+            # without waiting transactions no timer is due
+            expected = decisions.EVENTS if waiting else decisions.EVENTS[:2]
+            self.assertTrue(all(times[name] > 0 for name in expected), times)
 
-    def test_medians_are_of_the_rounds_and_counts_of_all(self):
+    def test_rates_are_medians_of_the_rounds_and_counts_are_sums(self):
         rounds = [
             {
                 "rate": rate,
@@ -45,7 +46,7 @@
         )
         self.assertNotIn("p99", row)
 
-    def test_the_stand_in_for_the_decisions_answers_what_fails(self):
+    def test_the_stand_in_for_the_policy_abandons_failed_transactions(self):
         stand_in = floor.NextHost()
         hosts = tuple(i.Host(n, n, "a", 0, True, 1.0, None) for n in range(2))
         stand_in.handle(0, i.HostsListed(hosts, True, True))
@@ -55,8 +56,9 @@
 
 
 class Load(unittest.IsolatedAsyncioTestCase):
-    async def test_an_open_load_counts_from_when_a_transaction_was_due(self):
-        """100 are due in a second, a peer takes 20 ms for each: that they wait is not left out."""
+    async def test_an_open_loop_load_measures_latency_from_the_scheduled_start(self):
+        """100 transactions per second are due at a peer that takes 20 ms for each: their waiting time
+        counts."""
 
         async def serve(reader, writer):
             with suppress(asyncio.IncompleteReadError):
@@ -66,7 +68,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        told = {
+        settings = {
             "address": server.sockets[0].getsockname()[:2],
             "connections": 1,
             "idle": 0,
@@ -76,10 +78,10 @@
             "body": 0,
             "seed": 1,
         }
-        loading = load.Load(told)
-        found = await loading.run()
+        loading = load.Load(settings)
+        results = await loading.run()
         server.close()
         for caller in loading.callers:
             caller.transport.close()
-        self.assertLess(found["asked"], 60)
-        self.assertGreater(found["p99"], 200)  # closed, it would say 20 ms
+        self.assertLess(results["asked"], 60)
+        self.assertGreater(results["p99"], 200)  # a closed-loop load would report 20 ms
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The file of known failures: entries that name no test are refused, and a line that is no entry."""
+"""KNOWN-RED.txt: entries that name no test and malformed lines are rejected."""
 
 import tempfile
 import unittest
@@ -21,7 +21,7 @@
         path.write_text("# a comment\n" + LINE.format(test))
         return known_red.unknown(known_red.read(path), known_red.by_file(collected), self.folder)
 
-    def test_an_entry_whose_test_or_file_does_not_exist_is_found(self):
+    def test_an_entry_whose_test_or_file_does_not_exist_is_reported(self):
         self.assertEqual(
             self.unknown("test_a.py::T::test_gone", "test_a.py::T::test_1"), ["test_a.py::T::test_gone"]
         )
@@ -29,12 +29,12 @@
             self.unknown("test_b.py::T::test_1", "test_a.py::T::test_1"), ["test_b.py::T::test_1"]
         )
 
-    def test_entries_of_files_that_a_partial_run_leaves_out_and_commands_are_let_be(self):
+    def test_entries_of_files_not_collected_and_commands_are_accepted(self):
         self.assertEqual(self.unknown("test_a.py::T::test_1", "test_a.py::T::test_1"), [])
         self.assertEqual(self.unknown("test_a.py::T::test_1"), [])
         self.assertEqual(self.unknown("basalthook lab soak, seed 39", "test_a.py::T::test_1"), [])
 
-    def test_a_line_with_a_field_too_few_or_an_empty_one_is_refused(self):
+    def test_a_line_with_a_missing_or_empty_field_is_rejected(self):
         for line in ("a | b | c", "a | b | | d"):
             path = self.folder / "KNOWN-RED.txt"
             path.write_text(line)
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -1,4 +1,4 @@
-"""The adapter: a batch in, a reply out, and what must not be swallowed."""
+"""The adapter to the simulator: batches in, replies out, and unknown events rejected."""
 
 import unittest
 
@@ -51,17 +51,19 @@
             )
         )
 
-    def ask(self, *events, now=2 * 10**9):
+    def process(self, *events, now=2 * 10**9):
         reply = self.processor.process(batch(now, *events))
         return [action for part in reply["parts"] for action in part["decisions"]]
 
-    def query(self, word="rq_a", left=300_050_000):
-        return {"QUERY": {"corr": word, "tier_class": "scan", "path_key": "k", "patience_left_ns": left}}
+    def query(self, tx_id="rq_a", time_left=300_050_000):
+        return {
+            "QUERY": {"corr": tx_id, "tier_class": "scan", "path_key": "k", "patience_left_ns": time_left}
+        }
 
     def test_round_trip(self):
-        sent = self.ask(self.query())
-        hop = {"corr": "rq_a", "host": "10.0.0.1:1", "allow_for_ns": 300_000_000}
-        self.assertEqual(sent[0], {"FORWARD": hop})
+        decisions = self.process(self.query())
+        forward = {"corr": "rq_a", "host": "10.0.0.1:1", "allow_for_ns": 300_000_000}
+        self.assertEqual(decisions[0], {"FORWARD": forward})
         verdict = {
             "VERDICT": {
                 "corr": "rq_a",
@@ -73,31 +75,31 @@
                 "gauge": [0.5, 9],
             }
         }
-        self.assertEqual(self.ask(verdict), [])
+        self.assertEqual(self.process(verdict), [])
         instance = self.processor.instances["proxy_0"]
         self.assertEqual((instance.transactions, instance.tx_numbers, instance.proxy.txs), ({}, {}, {}))
 
-    def test_kill_drops_the_instance_and_what_it_had_decided(self):
-        self.assertEqual(self.ask(self.query(), {"KILL": {}}), [])
+    def test_kill_drops_the_instance_and_its_decisions_of_the_batch(self):
+        self.assertEqual(self.process(self.query(), {"KILL": {}}), [])
         self.assertEqual(self.processor.instances, {})
 
-    def test_terms_are_rounded_to_the_safe_side(self):
+    def test_durations_of_the_settings_are_rounded_to_the_safe_side(self):
         terms = self.processor.instances["proxy_0"].proxy.terms
         self.assertEqual((terms.profiles[0].service_goal, terms.cold_time), (2_000, 83_001))
 
-    def test_news_of_a_host_not_listed_or_not_ours_is_passed_over(self):
+    def test_messages_about_unknown_hosts_or_malformed_ones_are_ignored(self):
         for payload in ({}, {"payload": "68692037"}, {"payload": "02" + "00" * 6}, {"payload": "x"}):
-            self.assertEqual(self.ask({"INBOX": {"src": 1, **payload}}), [])
+            self.assertEqual(self.process({"INBOX": {"src": 1, **payload}}), [])
 
-    def test_lists_with_odd_weights_are_taken_and_shares_stay_whole(self):
-        odd = [
+    def test_lists_with_unusual_weights_are_accepted_and_every_host_has_a_share(self):
+        records = [
             {"host": f"10.0.0.{n}:1", "area": "north", "status": "in_service", "capacity_hint": weight}
             for n, weight in enumerate((0, None, -3.0, 1e-9, 10.0))
         ]
-        self.ask({"DIRECTORY": {"slot": 1, "records": odd}}, {"VIEW": {"scope": "update", "slot": 1}})
+        self.process({"DIRECTORY": {"slot": 1, "records": records}}, {"VIEW": {"scope": "update", "slot": 1}})
         self.assertGreater(min(s.size for s in self.processor.instances["proxy_0"].proxy.servers.values()), 0)
-        self.assertIn("FORWARD", self.ask(self.query())[0])
+        self.assertIn("FORWARD", self.process(self.query())[0])
 
-    def test_an_unknown_event_is_not_swallowed(self):
+    def test_an_unknown_event_is_an_error(self):
         with self.assertRaises(ValueError):
-            self.ask({"NEWS": {}})
+            self.process({"NEWS": {}})
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, or do less than asked for: all rules hold, nothing spins."""
+"""System calls that fail temporarily, or do less than requested: all rules hold, and no loop spins."""
 
 import asyncio
 import errno
@@ -19,14 +19,14 @@
 
 
 class OnProcesses(unittest.TestCase):
-    def test_all_rules_hold_while_accept_socket_connect_reads_and_writes_fail_by_chance(self):
+    def test_all_rules_hold_while_accept_socket_connect_reads_and_writes_fail_at_random(self):
         result = play("system-calls.toml")
         self.assertEqual((result.faults, result.verdict.first), ([], None))
         self.assertGreater(result.verdict.service, 0.8)
 
 
 class Writing(unittest.IsolatedAsyncioTestCase):
-    async def test_a_connection_that_breaks_in_a_short_write_ends_as_any_other(self):
+    async def test_a_connection_that_breaks_during_a_partial_write_reports_its_end_once(self):
         class Breaking(socket.socket):
             def sendmsg(self, parts, *more):
                 return self.send(parts[0][:3])
@@ -53,16 +53,17 @@
 
 
 class Connecting(Loopback):
-    async def test_what_this_machine_lacks_for_a_moment_is_no_fault_of_the_endpoint(self):
+    async def test_a_temporary_lack_of_local_resources_is_no_fault_of_the_host(self):
         for code, outcome in ((errno.EADDRNOTAVAIL, "unsent"), (errno.ECONNREFUSED, "unreachable")):
             caller = await self.play(SocketHost(), SocketHost())
             failures, real = [code], socket.socket
-            endpoints = {catalogue.parse_address(host.address) for host in self.hosts}  # not discovery
+            # connections to discovery do not fail
+            endpoints = {catalogue.parse_address(host.address) for host in self.hosts}
 
             class Failing(real):
                 def connect(self, address, failures=failures, endpoints=endpoints):
                     if failures and address in endpoints:
-                        raise OSError(failures.pop(), "for a moment")
+                        raise OSError(failures.pop(), "temporary")
                     return super().connect(address)
 
             with patch.object(socket, "socket", Failing):
@@ -75,8 +76,9 @@
 
 class Accepting(unittest.IsolatedAsyncioTestCase):
     def listener(self, failures):
-        """One whose next so many calls of accept fail, and the connections it takes."""
-        taken, calls, real = [], [], listener_module.bind_sockets
+        """Return a listener whose first `failures` calls of accept fail, its accepted sockets, and its
+        calls."""
+        accepted, calls, real = [], [], listener_module.bind_sockets
 
         class Failing(socket.socket):
             def accept(self):
@@ -85,36 +87,36 @@
                     raise OSError(errno.ENFILE, "too many")
                 return super().accept()
 
-        def bound(*given):
-            (sock,) = real(*given)
+        def bind_sockets(*args):
+            (sock,) = real(*args)
             return [Failing(sock.family, sock.type, sock.proto, sock.detach())]
 
-        with patch.object(listener_module, "bind_sockets", bound):
-            made = Listener(("127.0.0.1", 0), lambda sock: taken.append(sock) or True)
-        made.socket.setblocking(False)
-        self.addCleanup(lambda: [sock.close() for sock in (made.socket, *taken)])
-        return made, taken, calls
+        with patch.object(listener_module, "bind_sockets", bind_sockets):
+            listener = Listener(("127.0.0.1", 0), lambda sock: accepted.append(sock) or True)
+        listener.socket.setblocking(False)
+        self.addCleanup(lambda: [sock.close() for sock in (listener.socket, *accepted)])
+        return listener, accepted, calls
 
-    async def test_a_failing_accept_is_tried_again_without_spinning(self):
-        made, taken, calls = self.listener(10**6)
-        made.open()
-        with socket.create_connection(made.address):
+    async def test_a_failing_accept_is_retried_without_spinning(self):
+        listener, accepted, calls = self.listener(10**6)
+        listener.open()
+        with socket.create_connection(listener.address):
             await asyncio.sleep(0.4)
-            self.assertLessEqual(len(calls), 28)  # seven looks of four calls
-            self.assertFalse(taken)
-            calls += [1] * 10**6  # from now on it works
+            self.assertLessEqual(len(calls), 28)  # seven polls of four calls
+            self.assertFalse(accepted)
+            calls += [1] * 10**6  # accept succeeds from now on
             async with asyncio.timeout(5):
-                while not taken:
+                while not accepted:
                     await asyncio.sleep(0.01)
-        made.close()
+        listener.close()
 
-    async def test_a_failing_accept_at_the_end_leaves_nobody_in_the_backlog(self):
-        made, taken, _ = self.listener(3)
-        with socket.create_connection(made.address), socket.create_connection(made.address):
-            made.close()
-            self.assertEqual(len(taken), 2)
+    async def test_failures_of_accept_at_the_end_leave_no_connection_in_the_backlog(self):
+        listener, accepted, _ = self.listener(3)
+        with socket.create_connection(listener.address), socket.create_connection(listener.address):
+            listener.close()
+            self.assertEqual(len(accepted), 2)
 
-    def test_a_start_waits_for_sockets_and_for_an_address_still_in_use(self):
+    def test_opening_retries_until_a_socket_and_the_address_are_available(self):
         with patch.object(socket, "socket", faulty(Chances(create=0.7))):
             listener_module.open_listening_socket(("127.0.0.1", 0)).close()
         with socket.create_server(("127.0.0.1", 0)) as other:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers on a clock and a loop that are handed in."""
+"""Timers on a simulated clock and event loop."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,37 +12,40 @@
 
 
 class Loop:
-    """One wake-up at a time, as told; time moves on to it."""
+    """A simulated event loop: runs one wake-up at a time, and moves its clock to it."""
 
     def __init__(self):
-        self.time, self.wakes = 0, []
+        self.time, self.wakeups = 0, []
 
     def now(self):
         return self.time
 
     def call_later(self, seconds, call):
-        wake = SimpleNamespace(at=self.time + round(seconds * SECOND), call=call)
-        wake.cancel = lambda: wake in self.wakes and self.wakes.remove(wake)
-        self.wakes.append(wake)
-        return wake
-
-    def turn(self):
-        wake = min(self.wakes, key=lambda each: each.at)
-        self.wakes.remove(wake)
-        self.time = max(self.time, wake.at)
-        wake.call()
-
-
-class TimersRing(unittest.TestCase):
-    def test_what_a_timer_sets_for_later_holds_up_no_other(self):
-        """One due at 0.2 s rang at 1.1 s, behind what the one before it had set."""
-        loop, rung = Loop(), []
+        wakeup = SimpleNamespace(at=self.time + round(seconds * SECOND), call=call)
+        wakeup.cancel = lambda: wakeup in self.wakeups and self.wakeups.remove(wakeup)
+        self.wakeups.append(wakeup)
+        return wakeup
+
+    def run_next(self):
+        wakeup = min(self.wakeups, key=lambda candidate: candidate.at)
+        self.wakeups.remove(wakeup)
+        self.time = max(self.time, wakeup.at)
+        wakeup.call()
+
+
+class TimersFire(unittest.TestCase):
+    def test_a_timer_set_by_a_callback_does_not_delay_earlier_ones(self):
+        """A callback that set a later timer moved the wake-up past the next one due.
+
+        It fired at 1.1 s in place of 0.2 s.
+        """
+        loop, fired = Loop(), []
         timers = Timers(loop.now, SECOND, loop.call_later)
-        timers.set(1_000, lambda: timers.set(10_000, rung.append, "late"))
-        timers.set(2_000, lambda: rung.append(loop.time))
-        while loop.wakes:
-            loop.turn()
-        self.assertEqual(rung, [2_000, "late"])
+        timers.set(1_000, lambda: timers.set(10_000, fired.append, "late"))
+        timers.set(2_000, lambda: fired.append(loop.time))
+        while loop.wakeups:
+            loop.run_next()
+        self.assertEqual(fired, [2_000, "late"])
 
     @given(
         st.lists(
@@ -53,27 +56,28 @@
             max_size=30,
         )
     )
-    def test_each_rings_at_its_time_and_the_earliest_is_always_armed(self, plans):
-        """A plan: due when, what it sets in its turn, and which of the earlier ones it cancels."""
-        loop, rung, set_for = Loop(), {}, {}
+    def test_each_fires_at_its_time_and_a_wakeup_is_set_for_the_earliest(self, plans):
+        """A plan: a delay, the delays of timers that it sets when it fires, and an earlier timer that it
+        cancels."""
+        loop, fired, expected = Loop(), {}, {}
         timers, entries = Timers(loop.now, SECOND, loop.call_later), []
 
-        def begin(delay, more, gone):
-            name = len(entries)
-            set_for[name] = loop.time + delay
-            entries.append(timers.set(delay, ring, name, more, gone))
+        def set_timer(delay, next_delays, cancelled):
+            number = len(entries)
+            expected[number] = loop.time + delay
+            entries.append(timers.set(delay, fire, number, next_delays, cancelled))
 
-        def ring(name, more, gone):
-            rung[name] = loop.time
-            for delay in more:
-                begin(delay, (), None)
-            if gone is not None and gone < len(entries) and gone not in rung:
-                timers.cancel(entries[gone])
-                set_for.pop(gone, None)
+        def fire(number, next_delays, cancelled):
+            fired[number] = loop.time
+            for delay in next_delays:
+                set_timer(delay, (), None)
+            if cancelled is not None and cancelled < len(entries) and cancelled not in fired:
+                timers.cancel(entries[cancelled])
+                expected.pop(cancelled, None)
 
         for plan in plans:
-            begin(*plan)
+            set_timer(*plan)
         while timers.heap:
-            self.assertLessEqual(min(wake.at for wake in loop.wakes), timers.heap[0][0])
-            loop.turn()
-        self.assertEqual(rung, set_for)
+            self.assertLessEqual(min(wakeup.at for wakeup in loop.wakeups), timers.heap[0][0])
+            loop.run_next()
+        self.assertEqual(fired, expected)
