--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,5 @@
-"""Bodies of any size on loopback: collected within a bound, passed on in pieces, cut off so that it shows."""
+"""Bodies of any size on loopback: collected within a memory budget, streamed, and visibly cut short on
+failure."""
 
 import asyncio
 import hashlib
@@ -26,8 +27,9 @@
 
 
 class Bodies(Loopback):
-    async def read_on(self, caller):
-        """Head, body and whether it was whole, of an answer in chunks or of its own length."""
+    async def read_response(self, caller):
+        """Read a response with chunks or with a length; return its head, its body and whether it was
+        complete."""
         head = (await caller.reader.readuntil(b"\r\n\r\n")).decode()
         body, whole = b"", False
         try:
@@ -43,43 +45,44 @@
             pass
         return head, body, whole
 
-    async def test_long_answers_of_every_form_come_whole_and_their_connections_are_used_again(self):
+    async def test_long_responses_of_every_framing_arrive_complete_and_connections_are_reused(self):
         caller = await self.play(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
         self.settled(0)
         for _ in range(4):
             caller.ask("submit")
-            head, body, whole = await self.read_on(caller)
+            head, body, whole = await self.read_response(caller)
             self.assertIn(" 200 ", head)
             self.assertEqual((body == LONG, whole, "Connection" in head), (True, True, False))
         self.assertEqual(await caller.outcome(profile="submit"), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
         self.assertEqual(self.log.hops(), [])
 
-    async def test_an_answer_of_any_size_that_comes_in_one_read_has_its_body(self):
-        """Begun as a long one and over in the same read, it went on without a body (8 of 556, recorded)."""
+    async def test_a_response_of_any_size_that_arrives_in_one_read_has_its_body(self):
+        """A response whose streaming began and ended in the same read lost its body (8 of 556 in a
+        recorded run)."""
         sizes = [n + more for n in (4_096, 8_192, 16_384, 65_536) for more in (-40, -1, 0, 1, 40)]
-        ways = [
+        responses = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n1\r\n!\r\n0\r\n\r\n"
             % (size, LONG[:size])
             for size in sizes
         ]
-        caller = await self.play(SocketHost(*ways))
+        caller = await self.play(SocketHost(*responses))
         for size in sizes:
             caller.ask("submit")
-            _, body, whole = await self.read_on(caller)
+            _, body, whole = await self.read_response(caller)
             self.assertEqual((body, whole), (LONG[:size] + b"!", True), size)
 
-    async def test_an_answer_that_breaks_off_is_not_taken_for_whole(self):
-        """Short of its length, a last chunk missing, a chunk that is none, reset in the middle."""
+    async def test_a_response_that_breaks_off_is_not_taken_for_complete(self):
+        """Cases: shorter than its length, the last chunk missing, a malformed chunk."""
         chunks = CHUNKED[:-12]
         caller = await self.play(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
         for _ in range(3):
             caller.ask("submit")
-            _, _, whole = await self.read_on(caller)
+            _, _, whole = await self.read_response(caller)
             self.assertFalse(whole)
             caller = await self.caller()
 
-    async def test_a_client_that_reads_nothing_halts_its_host_and_no_other_and_goes(self):
+    async def test_a_client_that_does_not_read_stalls_only_its_host_and_is_closed(self):
         first, second = await self.play(SocketHost(SILENT), SocketHost(SILENT)), await self.caller()
         first.ask("submit")
         await asyncio.wait(
@@ -95,26 +98,26 @@
             await asyncio.wait_for(self.until(lambda: len(self.service.clients.open) == 1), 10)
         self.assertEqual(len(self.service.owner.orders), 0)
 
-    async def test_a_client_that_goes_ends_its_hosts_connection(self):
+    async def test_a_client_that_disconnects_ends_its_hosts_connection(self):
         caller = await self.play(SocketHost(SIZED[:-1000]))
         caller.ask("submit")
         await caller.reader.readuntil(b"\r\n\r\n")
         await caller.stop()
         self.assertTrue(await self.hosts[0].ended.get())
 
-    async def test_long_bodies_of_requests_reach_a_host_whole_and_a_second_one_after_it(self):
+    async def test_long_request_bodies_reach_every_attempted_host_complete(self):
         refused = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
         caller = await self.play(SocketHost(refused, OK), SocketHost())
         for n in range(6):
             chunked = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG)
             caller.writer.write(HEAD % b"b%d" % n + (chunked if n % 2 else SENT))
             self.assertEqual((await caller.answer())[0], 200)
-        got = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
-        self.assertEqual(len(got), 7)  # one was refused
-        self.assertEqual({hashlib.sha256(body).digest() for body in got}, {hashlib.sha256(LONG).digest()})
+        bodies = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
+        self.assertEqual(len(bodies), 7)  # one attempt was refused
+        self.assertEqual({hashlib.sha256(body).digest() for body in bodies}, {hashlib.sha256(LONG).digest()})
         self.assertEqual(self.service.clients.room.in_use, 0)
 
-    async def test_bodies_wait_for_room_in_turn_and_who_gets_none_is_rolled_back(self):
+    async def test_bodies_wait_for_memory_in_order_and_without_any_are_rolled_back(self):
         first, second = await self.play(SocketHost()), await self.caller()
         self.service.clients.room.capacity = 4_000_000
 
@@ -136,14 +139,14 @@
         await first.stop()
         await self.until(lambda: not self.service.clients.room.in_use)
 
-    async def test_memory_of_a_body_that_the_door_turns_away_is_free_again(self):
+    async def test_memory_of_a_body_that_admission_control_rejects_is_released(self):
         caller = await self.play(SocketHost())
         with unittest.mock.patch.object(self.service.clients.door, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
             self.assertEqual((await caller.answer())[0], 503)
         self.assertEqual((self.service.clients.room.in_use, len(self.service.clients.open)), (0, 1))
 
-    async def test_a_body_that_comes_slowly_is_a_good_client_and_one_that_stops_is_not(self):
+    async def test_a_slow_body_is_accepted_and_one_that_stops_is_not(self):
         with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.2):
             caller = await self.play(SocketHost())
             caller.writer.write(HEAD % b"s1" + b"Content-Length: 375000\r\n\r\n")
@@ -156,39 +159,39 @@
         self.assertEqual(self.service.clients.room.in_use, 0)
 
 
-class LongBodies(unittest.TestCase):
+class StreamedBodies(unittest.TestCase):
     @given(st.integers(0, 200), st.lists(st.integers(1, 60), max_size=12), st.booleans())
-    def test_a_long_body_is_the_same_however_it_is_cut(self, size, cuts, chunked):
+    def test_a_streamed_body_is_the_same_however_it_is_split(self, size, cuts, chunked):
         body = bytes(n % 251 for n in range(size))
         head = b"Transfer-Encoding: chunked\r\n\r\n" if chunked else b"Content-Length: %d\r\n\r\n" % size
         text = b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (body[:7], body[7:90], body[90:]) if p)
         whole = b"HTTP/1.1 200 OK\r\n" + head + (text + b"0\r\n\r\n" if chunked else body)
-        parser, came, at = Parser(True, max_body=50, streaming=True), bytearray(), 0
+        parser, received, at = Parser(True, max_body=50, streaming=True), bytearray(), 0
         for cut in [*cuts, len(whole)]:
             parser.feed(whole[at : at + cut])
             at += cut
             if parser.streamed_head is not None:
-                came += parser.take_body()
+                received += parser.take_body()
         self.assertIsInstance(parser.result, Message)
         self.assertEqual(
-            (parser.streamed_head is not None, bytes(came) + parser.result.body), (size > 50, body)
+            (parser.streamed_head is not None, bytes(received) + parser.result.body), (size > 50, body)
         )
 
 
-class Rooms(unittest.TestCase):
+class MemoryBudget(unittest.TestCase):
     @given(st.lists(st.integers(1, 60), max_size=20), st.randoms(use_true_random=False))
-    def test_no_more_is_held_than_there_is_and_all_get_theirs_in_turn(self, wants, chance):
-        room, held, served = BodyMemory(60), [], []
-        for n, want in enumerate(wants):
-            if room.try_acquire(want):
-                held.append(want)
+    def test_the_capacity_is_not_exceeded_and_requests_are_granted_in_order(self, requests, random_source):
+        memory, granted, served = BodyMemory(60), [], []
+        for n, count in enumerate(requests):
+            if memory.try_acquire(count):
+                granted.append(count)
                 served.append(n)
             else:
-                room.enqueue(n, want, lambda n=n, want=want: (held.append(want), served.append(n)))
-            self.assertEqual(room.in_use, sum(held))
-            self.assertLessEqual(room.in_use, 60)
-            if held and chance.random() < 0.5:
-                room.release(held.pop(chance.randrange(len(held))))
-        while held:
-            room.release(held.pop())
-        self.assertEqual((served, room.in_use), (list(range(len(wants))), 0))
+                memory.enqueue(n, count, lambda n=n, count=count: (granted.append(count), served.append(n)))
+            self.assertEqual(memory.in_use, sum(granted))
+            self.assertLessEqual(memory.in_use, 60)
+            if granted and random_source.random() < 0.5:
+                memory.release(granted.pop(random_source.randrange(len(granted))))
+        while granted:
+            memory.release(granted.pop())
+        self.assertEqual((served, memory.in_use), (list(range(len(requests))), 0))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The second address on loopback: calls, hosts out and back, clients sent away; orders that join."""
+"""The admin address on loopback: requests, hosts disabled and enabled, clients drained; merging of orders."""
 
 import asyncio
 import itertools
@@ -17,8 +17,8 @@
 
 
 class Console(Loopback):
-    async def play(self, *hosts, **told):
-        caller = await super().play(*hosts, console="127.0.0.1:0", **told)
+    async def play(self, *hosts, **settings):
+        caller = await super().play(*hosts, console="127.0.0.1:0", **settings)
         self.addCleanup(self.service.console.close)
         return caller
 
@@ -27,7 +27,7 @@
         self.addAsyncCleanup(caller.stop)
         caller.writer.write(data or f"{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         status, body, head = await caller.answer()
-        self.assertEqual(await caller.reader.read(), b"")  # one call a connection
+        self.assertEqual(await caller.reader.read(), b"")  # one request per connection
         return status, body, head
 
     async def health(self):
@@ -35,7 +35,7 @@
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         return (await caller.answer())[0]
 
-    async def test_every_call_has_its_answer_at_once_and_none_is_a_fault(self):
+    async def test_every_request_is_answered_at_once_and_none_is_a_fault(self):
         await self.play(SocketHost())
         long = b"GET /-/ready HTTP/1.1\r\nHost: c\r\nX: " + b"x" * 20_000
         for method, path, data, status in (
@@ -60,22 +60,22 @@
         ):
             self.assertEqual((await self.call(method, path, data))[0], status, (method, path, data))
         self.assertIn("Allow: PUT", (await self.call("GET", "/-/drain"))[2])
-        said = [line["path"] for line in self.log.lines if line["event"] == "call"]
-        self.assertIn("/-/hosts/s%2D0/disable", said)
+        logged_paths = [line["path"] for line in self.log.lines if line["event"] == "call"]
+        self.assertIn("/-/hosts/s%2D0/disable", logged_paths)
 
-    async def test_callers_that_finish_no_call_hold_up_none(self):
+    async def test_connections_without_a_complete_request_block_no_other(self):
         await self.play(SocketHost())
         slow = [await Caller().to(self.service.console.address) for _ in range(20)]
-        for each in slow:
-            each.writer.write(b"PUT /-/dr")
+        for connection in slow:
+            connection.writer.write(b"PUT /-/dr")
         await self.until(lambda: len(self.service.callers.connections) == 12)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
-        for each in slow:
-            self.assertEqual(await asyncio.wait_for(each.reader.read(), 5), b"")
-            await each.stop()
+        for connection in slow:
+            self.assertEqual(await asyncio.wait_for(connection.reader.read(), 5), b"")
+            await connection.stop()
         await asyncio.wait_for(self.until(lambda: not self.service.callers.descriptors.in_use), 5)
 
-    async def test_a_host_taken_out_gets_nothing_until_it_is_put_back_whatever_the_list_says(self):
+    async def test_a_disabled_host_gets_nothing_until_it_is_enabled_whatever_the_list_says(self):
         caller = await self.play(SocketHost(), SocketHost())
         first, second = self.hosts
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
@@ -92,17 +92,17 @@
             for n in range(6):
                 self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual(first.got.qsize(), 0)
-        told = json.loads((await self.call("GET", "/-/hosts"))[1].split(b"\n")[0])
-        self.assertEqual((told["id"], told["out"], told["ready"]), ("s-0", True, False))
+        row = json.loads((await self.call("GET", "/-/hosts"))[1].split(b"\n")[0])
+        self.assertEqual((row["id"], row["out"], row["ready"]), ("s-0", True, False))
 
-    async def test_put_back_it_is_used_and_counts_as_cold_from_then_on(self):
+    async def test_an_enabled_host_is_used_and_counts_as_cold_from_then_on(self):
         caller = await self.play(SocketHost(), SocketHost())
-        for _ in range(2):  # out twice, back once
+        for _ in range(2):  # disabled twice, enabled once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
         server = next(s for s in self.service.owner.proxy.servers.values() if s.line.started)
         self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
-        self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
+        self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
         await self.until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
@@ -113,32 +113,32 @@
                 return
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
 
-    async def test_nothing_leaves_for_a_host_taken_out_while_its_connection_came_up(self):
+    async def test_nothing_is_sent_to_a_host_disabled_while_its_connection_was_established(self):
         caller = await self.play(SocketHost())
-        fresh = self.service.pool.open_connection
+        open_connection = self.service.pool.open_connection
 
-        def out_meanwhile(address, up):
-            def come(fault):
+        def disabled_meanwhile(address, on_connected):
+            def connected(failure):
                 self.service.staff.carry_out(AdminRequest("disable", "s-0"))
-                up(fault)
+                on_connected(failure)
 
-            return fresh(address, come)
+            return open_connection(address, connected)
 
-        self.service.pool.open_connection = out_meanwhile
+        self.service.pool.open_connection = disabled_meanwhile
         caller.ask("submit", timeout="0.3")
         self.assertEqual((await caller.answer())[0], 503)
         self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", i.UNSENT)], 0))
 
-    async def test_all_hosts_out_gives_clear_answers(self):
+    async def test_with_all_hosts_disabled_transactions_are_rolled_back(self):
         caller = await self.play(SocketHost(), SocketHost())
         for host in ("s-0", "s-1"):
             await self.call("PUT", f"/-/hosts/{host}/disable")
         self.assertEqual(await caller.outcome(timeout="0.2"), 503)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
 
-    async def test_a_drain_sends_clients_away_and_cuts_no_request(self):
+    async def test_a_drain_closes_client_connections_and_interrupts_no_request(self):
         idle, busy = await self.play(SocketHost(SILENT)), await self.caller()
-        self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # without a drain: nothing
+        self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # no effect without a drain
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         await idle.answer()
         busy.ask("submit")
@@ -147,18 +147,18 @@
         with unittest.mock.patch.multiple(
             "basalthook.routing.clients", LEAVE_IDLE=0.02, LEAVE_NEW=0.05, LOOK_AWAY=0.02
         ):
-            for _ in range(2):  # drained twice is drained
+            for _ in range(2):  # a second drain has no effect
                 self.assertEqual((await self.call("PUT", "/-/drain"))[0], 200)
             self.assertEqual(await self.health(), 503)
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual(await silent.reader.read(), b"")
-        late = await self.caller()  # new ones still come for a moment
+        late = await self.caller()  # new clients may still connect for a moment
         late.ask("submit", key="k2")
         await self.hosts[0].got.get()
         for writer in self.hosts[0].writers:
             writer.write(OK)
-        for each in (busy, late):
-            status, _, head = await each.answer()
+        for caller in (busy, late):
+            status, _, head = await caller.answer()
             self.assertEqual((status, "Connection: close" in head), (200, True))
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)
         self.assertEqual(await self.health(), 200)
@@ -170,21 +170,21 @@
 
 
 HOSTS = st.sampled_from("abc")
-WORDS = st.lists(st.tuples(HOSTS | st.none(), st.integers(1, 40), st.booleans()), max_size=12)
+ORDERS = st.lists(st.tuples(HOSTS | st.none(), st.integers(1, 40), st.booleans()), max_size=12)
 
 
-class OrdersJoin(unittest.TestCase):
-    @given(WORDS, WORDS)
-    def test_two_sets_join_to_the_same_in_either_order_and_more_than_once(self, mine, theirs):
-        def told(words):
+class MergingOrders(unittest.TestCase):
+    @given(ORDERS, ORDERS)
+    def test_two_sets_merge_to_the_same_in_either_order_and_repeatedly(self, mine, theirs):
+        def merged(changes):
             orders = Orders()
-            for host, now, out in words:
+            for host, now, out in changes:
                 orders.tell_drain(now, out) if host is None else orders.tell(host, now, out)
             return orders
 
-        one, other = told(mine), told(theirs)
-        one.join(told(theirs))
-        other.join(told(mine))
+        one, other = merged(mine), merged(theirs)
+        one.join(merged(theirs))
+        other.join(merged(mine))
         self.assertEqual(one.plain(), other.plain())
-        self.assertEqual(one.join(told(mine)), set())
+        self.assertEqual(one.join(merged(mine)), set())
         self.assertEqual(Orders.read(json.loads(json.dumps(one.plain()))).plain(), one.plain())
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,5 @@
-"""Messages: alike wherever they are split, refused where two readers could differ."""
+"""Messages: parsed alike however they are split, rejected where two recipients could read them
+differently."""
 
 import random
 import unittest
@@ -26,12 +27,12 @@
     return parser.result
 
 
-def answered(status, *fields, framing="Content-Length: 0"):
+def response_of(status, *fields, framing="Content-Length: 0"):
     return parse("\r\n".join([f"HTTP/1.1 {status} X", *fields, framing, "", ""]).encode(), True)
 
 
 class Parsing(unittest.TestCase):
-    def test_split_at_any_byte_messages_parse_alike(self):
+    def test_messages_parse_alike_when_split_at_any_byte(self):
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
         for data, responses in ((POST, False), (b"\r\n" + POST, False), (interim + CHUNKED, True)):
             whole = parse(data, responses)
@@ -48,14 +49,15 @@
                 parser.feed(data[at : at + 1])
             self.assertEqual(parser.result, whole)
 
-    def test_a_short_head_behind_a_long_interim_one_is_seen(self):
+    def test_a_short_head_after_a_long_interim_response_is_found(self):
         parser = Parser(True)
         parser.feed(b"HTTP/1.1 103 Early\r\nLink: " + b"x" * 300)
         parser.feed(b"\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(parser.result.status, 200)
-        self.assertEqual(parse(b"HTTP/1.1 100 X\r\n\r\n" * 100, True).status, 400)  # without end
+        # more interim responses than allowed
+        self.assertEqual(parse(b"HTTP/1.1 100 X\r\n\r\n" * 100, True).status, 400)
 
-    def test_what_two_readers_could_read_differently_is_refused(self):
+    def test_what_two_recipients_could_read_differently_is_rejected(self):
         def head(*fields, line="POST / HTTP/1.1"):
             return "\r\n".join([line, "Host: s", *fields, "", ""]).encode()
 
@@ -88,7 +90,7 @@
             self.assertIsInstance(found, Rejection, data[:60])
             self.assertEqual(found.status, status, data[:60])
 
-    def test_a_bare_line_end_is_refused_at_once(self):
+    def test_a_bare_line_feed_is_rejected_at_once(self):
         for data in (b"GET / HTTP/1.1\nHost: s\n\n", b"GET / HTTP/1.1\r\nHost: s\n", b"\n"):
             for at in range(len(data)):
                 parser = Parser(False)
@@ -97,10 +99,13 @@
                 self.assertEqual(parser.result.status, 400)
 
     def test_random_bytes_do_no_harm(self):
-        """No exception, no hang, no memory beyond the limits, alone or spliced into a sound message."""
-        chance = random.Random(7)
+        """No exception, no hang, no memory beyond the limits, alone or inserted into a valid message."""
+        random_source = random.Random(7)
         for n in range(3_000):
-            noise, at = chance.randbytes(chance.randrange(1, 400)), chance.randrange(len(POST))
+            noise, at = (
+                random_source.randbytes(random_source.randrange(1, 400)),
+                random_source.randrange(len(POST)),
+            )
             for data in (noise, POST[:at] + noise + POST[at:], CHUNKED[:at] + noise[:3] + CHUNKED[at:]):
                 parser = Parser(bool(n % 2), max_body=1_000)
                 for cut in range(0, len(data), 37):
@@ -109,12 +114,12 @@
                 parser.feed_eof()
                 self.assertLess(len(parser.unparsed) + len(parser.body), MAX_HEAD_BYTES + 2_000)
 
-    def test_bytes_after_a_message_stay(self):
+    def test_bytes_after_a_message_are_kept(self):
         parser = Parser(False)
         parser.feed(POST + b"GET")
         self.assertEqual((parser.result.body, bytes(parser.unparsed)), (b"hello", b"GET"))
 
-    def test_kept_open_only_as_both_versions_mean_it(self):
+    def test_keep_alive_follows_the_rules_of_both_versions(self):
         for line, field, keep in (
             ("1.1", "X: y", True),
             ("1.1", "Connection: Close", False),
@@ -125,7 +130,7 @@
                 parse(f"GET / HTTP/{line}\r\nHost: s\r\n{field}\r\n\r\n".encode()).keep_alive, keep
             )
 
-    def test_an_answer_without_a_length_ends_with_its_connection_and_is_marked(self):
+    def test_a_response_without_a_length_ends_with_its_connection_and_is_not_delimited(self):
         found = parse(b"HTTP/1.1 200 OK\r\n\r\npart", True, end=True)
         self.assertEqual((found.body, found.delimited, found.keep_alive), (b"part", False, False))
         self.assertIsNone(parse(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart", True, end=True))
@@ -142,7 +147,7 @@
             found = application.parse_transaction(parse(POST.replace(b"0.480", text)), self.PROFILES)
             self.assertEqual(found.timeout, float(text))
 
-    def test_what_cannot_be_carried_is_turned_away(self):
+    def test_unusable_requests_are_rejected(self):
         for old, new, status in (
             (b"survey-submit", b"unknown", 404),
             (b"Request-Id: 7", b"X: 7", 400),
@@ -161,44 +166,46 @@
             found = application.parse_transaction(parse(POST.replace(old, new)), self.PROFILES)
             self.assertEqual(getattr(found, "status", None), status, new)
 
-    def test_a_hop_carries_method_path_body_and_id_unchanged_and_our_own_time(self):
+    def test_an_attempt_has_method_path_body_and_id_unchanged_and_its_own_time_limit(self):
         sent = parse(b"".join(hosts.attempt_request(parse(POST), 0.3)))
         self.assertEqual((sent.method, sent.target, sent.body), ("POST", "/survey-submit/a?b=1", b"hello"))
         self.assertEqual((sent.field("request-id"), sent.field("request-timeout")), ("7", "0.3000"))
         self.assertEqual((sent.field("x-own"), sent.field("connection")), (None, None))
 
-    def test_a_commit_is_passed_on_unchanged_with_framing_of_its_own(self):
+    def test_a_commit_is_passed_on_unchanged_with_new_framing(self):
         sent = parse(b"".join(application.committed_response(parse(CHUNKED, True), keep_alive=False)), True)
         self.assertEqual((sent.status, sent.body, sent.keep_alive), (200, b"host!", False))
 
-    def test_only_a_rollback_says_that_trying_again_is_harmless(self):
-        back = parse(application.rollback_response(0.25, True), True)
-        self.assertEqual((back.status, back.field("retry-after")), (503, "0.250"))
-        for late in (False, True):
-            self.assertNotIn(parse(application.abandoned_response(late, True), True).status, (200, 429, 503))
+    def test_only_a_rollback_response_invites_a_retry(self):
+        response = parse(application.rollback_response(0.25, True), True)
+        self.assertEqual((response.status, response.field("retry-after")), (503, "0.250"))
+        for timed_out in (False, True):
+            self.assertNotIn(
+                parse(application.abandoned_response(timed_out, True), True).status, (200, 429, 503)
+            )
 
 
 class Outcomes(unittest.TestCase):
-    def test_only_a_marked_answer_proves_that_nothing_ran(self):
+    def test_only_a_response_marked_not_started_proves_that_nothing_ran(self):
         for found, outcome in (
-            (answered(503, "Not-Started: 1"), i.REFUSED),
-            (answered(504, "Not-Started: 1"), i.REFUSED),
-            (answered(503), i.ERROR),
-            (answered(500, "Not-Started: 1"), i.ERROR),
-            (answered(200), i.COMMITTED),
-            (answered(204), i.ERROR),
-            (answered(404), i.DECLINED),
-            (answered(400), i.DECLINED),
-            (answered(429), i.ERROR),
-            (answered(302), i.ERROR),
-            (answered(999), i.ERROR),
+            (response_of(503, "Not-Started: 1"), i.REFUSED),
+            (response_of(504, "Not-Started: 1"), i.REFUSED),
+            (response_of(503), i.ERROR),
+            (response_of(500, "Not-Started: 1"), i.ERROR),
+            (response_of(200), i.COMMITTED),
+            (response_of(204), i.ERROR),
+            (response_of(404), i.DECLINED),
+            (response_of(400), i.DECLINED),
+            (response_of(429), i.ERROR),
+            (response_of(302), i.ERROR),
+            (response_of(999), i.ERROR),
         ):
             self.assertEqual(hosts.classify_response(found, True), outcome, found)
 
-    def test_what_came_too_early_is_no_commit_and_an_end_in_order_ends_a_body(self):
+    def test_a_response_before_the_whole_request_is_no_commit_and_an_orderly_close_ends_a_body(self):
         ended = parse(b"HTTP/1.1 200 OK\r\n\r\nall", True, end=True)
         self.assertEqual((ended.body, hosts.classify_response(ended, True)), (b"all", i.COMMITTED))
-        self.assertEqual(hosts.classify_response(answered(200), False), i.ERROR)
+        self.assertEqual(hosts.classify_response(response_of(200), False), i.ERROR)
 
 
 class Catalogue(unittest.TestCase):
@@ -217,17 +224,19 @@
         entry = {k: v for k, v in {**self.LINE, **changes}.items() if v != "left out"}
         return catalogue.decode_host_list(orjson.dumps({"version": 4, "full": False, "servers": [entry]}))
 
-    def test_a_line(self):
-        (line,) = self.read().records
-        self.assertEqual(line, ("s-1", ("127.0.0.9", 8443), "a", 3, True, False, 1.5, 12_000_000, "m", False))
-        (line,) = self.read(cell=None, weight=None, started_ms=None).records
-        self.assertEqual(line[3:], (0, True, False, 1.0, 0, "m", False))
+    def test_a_record(self):
+        (record,) = self.read().records
+        self.assertEqual(
+            record, ("s-1", ("127.0.0.9", 8443), "a", 3, True, False, 1.5, 12_000_000, "m", False)
+        )
+        (record,) = self.read(cell=None, weight=None, started_ms=None).records
+        self.assertEqual(record[3:], (0, True, False, 1.0, 0, "m", False))
         self.assertEqual(
             [self.read(state=s).records[0][4:6] for s in ("draining", "removed")],
             [(False, False), (False, True)],
         )
 
-    def test_a_list_that_is_not_sound_is_no_list(self):
+    def test_a_malformed_list_is_rejected(self):
         for changes in (
             {"state": "resting"},
             {"id": "left out"},
@@ -253,9 +262,9 @@
             self.assertIsNone(catalogue.decode_host_list(body), body)
 
 
-class News(unittest.TestCase):
-    def test_there_and_back_and_what_is_not_ours_is_nothing(self):
-        for what in (i.MET_FAULT, i.AT_FAULT):
-            self.assertEqual(news.decode_hex(news.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1))
+class PeerMessages(unittest.TestCase):
+    def test_messages_round_trip_and_malformed_ones_are_ignored(self):
+        for kind in (i.MET_FAULT, i.AT_FAULT):
+            self.assertEqual(news.decode_hex(news.encode(kind, 2**48 - 1).hex()), (kind, 2**48 - 1))
         for digits in (None, "", "0", "zz", "01", "00" * 7, "03" + "31" * 6, "01" * 8, "01" * 300):
             self.assertIsNone(news.decode_hex(digits))
