--- a/basalthook/bodies/room.py
+++ b/basalthook/bodies/room.py
@@ -2,7 +2,7 @@
 
 A body of known length acquires all its memory before more of it is read. If there is not enough, reading from
 its client stops until there is, in order of arrival. A body of unknown length acquires more as it grows. A
-request that gets no memory in time is rejected.
+request that gets no memory in time is rolled back.
 """
 
 from collections import OrderedDict
--- a/basalthook/protocol/application.py
+++ b/basalthook/protocol/application.py
@@ -100,8 +100,10 @@
 
 
 def rollback_response(retry_after: float, keep_alive: bool) -> bytes:
-    """Return the response after a roll-back: a retry is safe, after `retry_after` seconds unless that is
-    0."""
+    """Return the response after a roll-back: a retry is safe.
+
+    `retry_after` is the delay before it in seconds, or 0 if there is none.
+    """
     fields = [("Retry-After", f"{retry_after:.3f}")] if retry_after else []
     return http1.response(503, fields, b"", keep_alive)
 
--- a/basalthook/protocol/catalogue.py
+++ b/basalthook/protocol/catalogue.py
@@ -60,8 +60,10 @@
 
 
 def parse_host_record(entry: dict) -> HostRecord:
-    """Return the record of one entry. Raises ValueError, TypeError, KeyError or OverflowError if it is
-    bad."""
+    """Return the record of one entry.
+
+    Raises KeyError, ValueError, TypeError, AttributeError or OverflowError if it is malformed.
+    """
     if None in entry.values():
         entry = {name: value for name, value in entry.items() if value is not None}
     state, get = entry["state"], entry.get
--- a/basalthook/simwire/__main__.py
+++ b/basalthook/simwire/__main__.py
@@ -1,5 +1,4 @@
-"""The process loop: reads one batch per line from standard input, writes one reply per line to standard
-output."""
+"""The process loop: one batch per line of standard input, one reply per line of standard output."""
 
 import sys
 
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -1,5 +1,4 @@
-"""Translates names, units and ids of the simulator's wire protocol to and from events and effects of the
-policy."""
+"""Translates the simulator's wire protocol to events of the policy, and its effects to the wire protocol."""
 
 from .. import terms
 from ..fleet.counting import Counting
@@ -67,8 +66,7 @@
         )
 
     def _release(self, tx: int, attempts: int = 0, closed: bool = False) -> None:
-        """Update a transaction, by a change of its open attempts, and forget it if nothing more can
-        concern it."""
+        """Change the number of open attempts of a transaction; forget it once it is closed with none open."""
         entry = self.transactions.get(tx)
         if entry is None:
             return
@@ -174,8 +172,7 @@
 
 
 class BatchProcessor:
-    """Handles batches for all instances of one process; they share only the numbered host lists of the
-    wire."""
+    """Handles the batches for all instances of one process; these share only the numbered host lists."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
--- a/basalthook/transport/connection.py
+++ b/basalthook/transport/connection.py
@@ -27,7 +27,7 @@
 class Stage(IntEnum):
     """How far an exchange has progressed. The peer can have started to process it only from WRITTEN on.
 
-    The names go out in lower case, as the log field `stage`.
+    The names appear in lower case in the log field `stage`.
     """
 
     UNTRIED = 0  # nothing has left this machine
@@ -157,8 +157,7 @@
                 self._stream_closed()
 
     def receive(self) -> None:
-        """Read available bytes, at most `MAX_READS_PER_ITERATION` buffers; the loop calls again for the
-        rest."""
+        """Read available bytes, up to `MAX_READS_PER_ITERATION` buffers; the loop calls again for more."""
         for _ in range(MAX_READS_PER_ITERATION):
             if self.closed or self.on_data is None:
                 return
@@ -250,8 +249,10 @@
             return False
 
     def fail(self, reason: str) -> None:
-        """Close the connection and report `reason` to `on_connected` if it was connecting, else to
-        `on_close`."""
+        """Close the connection and report the failure.
+
+        It goes to `on_connected` while the connection is being established, else to `on_close`.
+        """
         on_close, on_connected = self.on_close, self.on_connected
         if not self.closed:
             self.close()
--- a/basalthook/transport/descriptors.py
+++ b/basalthook/transport/descriptors.py
@@ -1,5 +1,4 @@
-"""The budget of file descriptors: how many connections this process may hold open under its configured
-limit."""
+"""The budget of file descriptors: how many connections this process may hold open."""
 
 RESERVED_DESCRIPTORS = 16  # for the interpreter, the event loop, the listener, and short-lived files
 # 1/8 of the budget is for clients alone: they are accepted when attempts no longer get a descriptor
@@ -35,8 +34,7 @@
         return self.in_use >= self.max_open
 
     def ensure_below(self, ceiling: int) -> bool:
-        """Return whether fewer than `ceiling` descriptors are in use, closing idle connections if
-        necessary."""
+        """Close idle connections if need be; return whether fewer than `ceiling` descriptors are in use."""
         while self.in_use >= ceiling and any(reclaim() for reclaim in self.reclaimers):
             pass
         return self.in_use < ceiling
--- a/basalthook/transport/hostpool.py
+++ b/basalthook/transport/hostpool.py
@@ -12,7 +12,7 @@
 from .descriptors import DescriptorBudget
 from .timers import Timers
 
-REUSE_DELAY_S = 0.01  # after a response, before its connection is used again
+REUSE_DELAY_S = 0.01  # between a response and the next use of its connection
 # of the time after which a host closes an idle connection; connections idle for longer are not used
 IDLE_TIMEOUT_FRACTION = 0.8
 
@@ -45,7 +45,7 @@
         for connection in reversed(self.by_host.get(host, ())):
             _, usable_until = self.idle_connections[connection]
             if usable_until - self.idle_timeout > now - REUSE_DELAY_S:
-                continue  # bytes sent after its last response would be taken for the next response
+                continue  # stray bytes after its last response would be taken for the next one
             self._remove(connection)
             if usable_until > now and connection.is_idle():
                 return connection
--- a/basalthook/transport/turns.py
+++ b/basalthook/transport/turns.py
@@ -1,5 +1,4 @@
-"""The event loop's selector: tracks up to when received bytes have been read, and orders ready
-descriptors."""
+"""The event loop's selector: tracks how far reading lags behind, and orders ready descriptors."""
 
 import asyncio
 import selectors
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -57,8 +57,7 @@
 
 class Load(unittest.IsolatedAsyncioTestCase):
     async def test_an_open_loop_load_measures_latency_from_the_scheduled_start(self):
-        """100 transactions per second are due at a peer that takes 20 ms for each: their waiting time
-        counts."""
+        """With 100 transactions due per second and 20 ms for each, the time they wait is included."""
 
         async def serve(reader, writer):
             with suppress(asyncio.IncompleteReadError):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -76,8 +76,7 @@
 
 class Accepting(unittest.IsolatedAsyncioTestCase):
     def listener(self, failures):
-        """Return a listener whose first `failures` calls of accept fail, its accepted sockets, and its
-        calls."""
+        """Return a listener whose first `failures` accept calls fail, its accepted sockets, and its calls."""
         accepted, calls, real = [], [], listener_module.bind_sockets
 
         class Failing(socket.socket):
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -57,8 +57,7 @@
         )
     )
     def test_each_fires_at_its_time_and_a_wakeup_is_set_for_the_earliest(self, plans):
-        """A plan: a delay, the delays of timers that it sets when it fires, and an earlier timer that it
-        cancels."""
+        """A plan: a delay, the delays of the timers it sets on firing, and an earlier timer it cancels."""
         loop, fired, expected = Loop(), {}, {}
         timers, entries = Timers(loop.now, SECOND, loop.call_later), []
 
