--- a/basalthook/transport/timers.py
+++ b/basalthook/transport/timers.py
@@ -14,7 +14,7 @@
     """
 
     def __init__(self, now, ticks_per_second: int, call_later=None) -> None:
-        """`call_later(seconds, callback)` returns a handle with `cancel()`; the default is the running loop's."""
+        """`call_later(seconds, callback)` returns a handle with `cancel()`; by default the loop's own."""
         self.now, self.ticks_per_second = now, ticks_per_second
         self.call_later = call_later or (lambda *args: asyncio.get_running_loop().call_later(*args))
         # due time in ticks, sequence, callback (None: over or cancelled), arguments
