--- a/basalthook/console/callers.py
+++ b/basalthook/console/admin_server.py
@@ -9,7 +9,7 @@
 from ..transport.connection import Connection, ConnectionFailure
 from ..transport.descriptors import RESERVED_DESCRIPTORS, DescriptorBudget
 from ..transport.timers import Timers
-from . import calls
+from . import admin_api
 
 MAX_CONNECTIONS = 12  # at once; the oldest one is closed for a new one
 REQUEST_TIMEOUT_S = 1.0  # for the whole request and the reading of its response
@@ -36,14 +36,14 @@
             if self.parser.result is not None:
                 self.respond(self.server.reply(self.parser.result))
             elif self.parser.expects_continue:
-                self.respond(calls.AdminResponse(417, "no body is wanted"))
+                self.respond(admin_api.AdminResponse(417, "no body is wanted"))
         except Exception as error:  # an exception must not affect other connections
             self.server.log("fault", where="console", error=repr(error))
             self.drop()
 
-    def respond(self, reply: calls.AdminResponse) -> None:
+    def respond(self, reply: admin_api.AdminResponse) -> None:
         self.responded = True
-        if self.connection.write((calls.encode_response(reply),), self._response_written):
+        if self.connection.write((admin_api.encode_response(reply),), self._response_written):
             self._response_written()
 
     def _response_written(self) -> None:
@@ -93,13 +93,13 @@
         connection.start_reading(admin_connection.on_data, admin_connection.on_close)
         return True
 
-    def reply(self, message) -> calls.AdminResponse:
+    def reply(self, message) -> admin_api.AdminResponse:
         """Handle a parsed message; requests that are not read-only, and bad ones, are logged."""
         if isinstance(message, Rejection):
-            return calls.rejection_response(message)
-        request = calls.parse_request(message)
-        reply = self.handle(request) if isinstance(request, calls.AdminRequest) else request
-        if not isinstance(request, calls.AdminRequest) or request.action not in calls.READ_ONLY:
+            return admin_api.rejection_response(message)
+        request = admin_api.parse_request(message)
+        reply = self.handle(request) if isinstance(request, admin_api.AdminRequest) else request
+        if not isinstance(request, admin_api.AdminRequest) or request.action not in admin_api.READ_ONLY:
             self.log(
                 "call", method=message.method, path=message.target[:200], status=reply.status, text=reply.text
             )
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -16,7 +16,7 @@
 import msgpack
 
 from ..fleet.facts import Fact
-from ..transport import arrival
+from ..transport import timestamps
 from .links import Links, spoil
 
 HEAD = 9  # bytes before the message
@@ -35,16 +35,16 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         self.socket.bind(("127.0.0.1", 0))
-        arrival.enable(self.socket)
+        timestamps.enable(self.socket)
         asyncio.get_running_loop().add_reader(self.socket.fileno(), self.readable)
 
     def readable(self) -> None:
         for _ in range(READ_MOST):
             try:
-                data, ancillary, _, source = self.socket.recvmsg(LENGTH_MOST, arrival.ANCILLARY_BYTES)
+                data, ancillary, _, source = self.socket.recvmsg(LENGTH_MOST, timestamps.ANCILLARY_BYTES)
             except OSError:  # nothing more
                 return
-            sent_at = self.relays.clock() - arrival.receive_delay(ancillary) / 1e9
+            sent_at = self.relays.clock() - timestamps.receive_delay(ancillary) / 1e9
             self.relays.came(self.number, data, source, sent_at)
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -7,7 +7,7 @@
 
 from ..program.service import Service
 from ..program.startup import decode
-from ..transport.turns import TimedSelector, run
+from ..transport.event_loop import TimedSelector, run
 from .faults import Between, LongWay, OfProxies, Vanish
 from .load import Clients
 from .result import Result, found
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -8,8 +8,8 @@
 
 from .. import VERSION
 from ..protocol.application import HEALTH_PATH
-from ..transport.turns import TimedSelector
-from ..transport.turns import run as run_loop
+from ..transport.event_loop import TimedSelector
+from ..transport.event_loop import run as run_loop
 from . import fleetline, staffline, startup
 from . import migrate as migration
 from .log import Log
--- a/basalthook/program/fleetline.py
+++ b/basalthook/program/fleetline.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ..console import calls
+from ..console import admin_api
 from ..protocol import catalogue
 
 ADDRESS = click.argument("address", metavar="HOST:PORT")
@@ -17,7 +17,7 @@
 
 def rows(address: str, seconds: float, what: str) -> list[dict]:
     """What the process at its second address tells; exits with 1 where it tells nothing."""
-    method, path = calls.request_line(what)
+    method, path = admin_api.request_line(what)
     try:
         where, port = catalogue.parse_address(address)
         connection = http.client.HTTPConnection(where, port, timeout=seconds)
@@ -59,7 +59,7 @@
 @JSON
 def members(address: str, seconds: float, plain: bool) -> None:
     """Who the process with its second address at HOST:PORT holds for alive, suspect or dead."""
-    found = rows(address, seconds, calls.MEMBERS)
+    found = rows(address, seconds, admin_api.MEMBERS)
     living = sum(row["state"] != "dead" for row in found)
     show(
         found,
@@ -96,7 +96,7 @@
 @JSON
 def verdicts(address: str, seconds: float, plain: bool) -> None:
     """Which hosts are out or on their way back, why, who says so, and how old that is against its life."""
-    found = rows(address, seconds, calls.VERDICTS)
+    found = rows(address, seconds, admin_api.VERDICTS)
     show(
         found,
         plain,
@@ -126,7 +126,7 @@
     if what == "explain":
         explain(path, proxies, hard_limit, plain)
         return
-    found = rows(what, seconds, calls.LIMITS)
+    found = rows(what, seconds, admin_api.LIMITS)
     show(
         found,
         plain,
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -5,8 +5,8 @@
 import signal
 from random import Random
 
-from ..bodies.room import BodyMemory
-from ..console.callers import MAX_CONNECTIONS, AdminServer
+from ..bodies.memory import BodyMemory
+from ..console.admin_server import MAX_CONNECTIONS, AdminServer
 from ..handover.handover import Handover, Here
 from ..handover.inherited import NotOurs, listening
 from ..handover.neighbours import Neighbours
@@ -22,10 +22,10 @@
 from ..routing.watch import Watch
 from ..transport.buffers import BufferPool
 from ..transport.descriptors import DescriptorBudget
+from ..transport.event_loop import TimedSelector
 from ..transport.hostpool import HostPool
 from ..transport.listener import Listener
 from ..transport.timers import Timers
-from ..transport.turns import TimedSelector
 from .figures import Figures
 from .log import Log
 from .reload import EarlyHangup, Reload
--- a/basalthook/program/staffline.py
+++ b/basalthook/program/staffline.py
@@ -6,7 +6,7 @@
 
 import click
 
-from ..console import calls
+from ..console import admin_api
 from ..protocol import catalogue
 
 CONSOLE = click.option(
@@ -39,7 +39,7 @@
 
 
 def make(address: str, seconds: float, what: str, host: str = "") -> NoReturn:
-    ask(address, seconds, *calls.request_line(what, host))
+    ask(address, seconds, *admin_api.request_line(what, host))
 
 
 def command(name: str, what: str, help_: str) -> click.Command:
@@ -67,14 +67,16 @@
     "host",
     help="Take hosts out for maintenance, and put them back.",
     commands=[
-        host_command("disable", calls.DISABLE, "Take HOST (its id in the list) out, until it is put back."),
-        host_command("enable", calls.ENABLE, "Put HOST back; it counts as restarted, and so as cold."),
-        command("list", calls.HOSTS, "Every host known, one JSON line each."),
+        host_command(
+            "disable", admin_api.DISABLE, "Take HOST (its id in the list) out, until it is put back."
+        ),
+        host_command("enable", admin_api.ENABLE, "Put HOST back; it counts as restarted, and so as cold."),
+        command("list", admin_api.HOSTS, "Every host known, one JSON line each."),
     ],
 )
 COMMANDS = (
     host,
-    command("drain", calls.DRAIN, "Send clients away: the process runs on."),
-    command("resume", calls.RESUME, "Back to work after a drain."),
-    command("ready", calls.READY, "Ask whether the process is ready to serve."),
+    command("drain", admin_api.DRAIN, "Send clients away: the process runs on."),
+    command("resume", admin_api.RESUME, "Back to work after a drain."),
+    command("ready", admin_api.READY, "Ask whether the process is ready to serve."),
 )
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -5,7 +5,7 @@
 
 from collections import Counter
 
-from ..bodies.relay import ResponseForwarder
+from ..bodies.forwarder import ResponseForwarder
 from ..policy import interface as i
 from ..protocol import hosts
 from ..protocol.http1 import Message, Parser, Rejection
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from ..bodies.room import GROWTH_BYTES, BodyMemory
+from ..bodies.memory import GROWTH_BYTES, BodyMemory
 from ..protocol import application, http1
 from ..protocol.application import TransactionRequest
 from ..protocol.http1 import Message, Parser, Rejection
--- a/basalthook/routing/staff.py
+++ b/basalthook/routing/staff.py
@@ -1,7 +1,7 @@
 """What the staff asks of this process, carried out: hosts out and back, clients away and back, what holds."""
 
-from ..console import calls
-from ..console.calls import AdminRequest, AdminResponse
+from ..console import admin_api
+from ..console.admin_api import AdminRequest, AdminResponse
 from .clients import Clients
 from .clock import TICK, Clock
 from .owner import Ordered, Owner
@@ -46,19 +46,19 @@
             for host, (_, out) in orders.words.items()
             if out and not self.roster.known(host)
         ]
-        return calls.json_lines(sorted(lines + away, key=lambda line: line["id"]))
+        return admin_api.json_lines(sorted(lines + away, key=lambda line: line["id"]))
 
     def members(self, _: AdminRequest) -> AdminResponse:
-        return calls.json_lines(self.fleet.members()) if self.fleet is not None else ALONE
+        return admin_api.json_lines(self.fleet.members()) if self.fleet is not None else ALONE
 
     def verdicts(self, _: AdminRequest) -> AdminResponse:
-        return calls.json_lines(self.fleet.verdicts()) if self.fleet is not None else ALONE
+        return admin_api.json_lines(self.fleet.verdicts()) if self.fleet is not None else ALONE
 
     def limits(self, _: AdminRequest) -> AdminResponse:
-        return calls.json_lines(self.fleet.shares()) if self.fleet is not None else ALONE
+        return admin_api.json_lines(self.fleet.shares()) if self.fleet is not None else ALONE
 
     def host(self, call: AdminRequest) -> AdminResponse:
-        orders, out = self.roster.orders, call.action == calls.DISABLE
+        orders, out = self.roster.orders, call.action == admin_api.DISABLE
         if not self.roster.known(call.host) and not orders.out(call.host):
             return AdminResponse(404, "no such host")
         if not orders.tell(call.host, self.clock.now() * TICK, out):
@@ -67,7 +67,7 @@
         return self.kept("out" if out else "back, and cold")
 
     def drain(self, call: AdminRequest) -> AdminResponse:
-        drained = call.action == calls.DRAIN
+        drained = call.action == admin_api.DRAIN
         if not self.roster.orders.tell_drain(self.clock.now() * TICK, drained):
             return AdminResponse(200, "drained already" if drained else "not drained")
         self.clients.drain(drained)
@@ -80,13 +80,13 @@
         return AdminResponse(200, text + (f"; lost with this process: {wrong}" if wrong else ""))
 
     DOES = {
-        calls.READY: ready,
-        calls.HOSTS: hosts,
-        calls.DISABLE: host,
-        calls.ENABLE: host,
-        calls.DRAIN: drain,
-        calls.RESUME: drain,
-        calls.MEMBERS: members,
-        calls.VERDICTS: verdicts,
-        calls.LIMITS: limits,
+        admin_api.READY: ready,
+        admin_api.HOSTS: hosts,
+        admin_api.DISABLE: host,
+        admin_api.ENABLE: host,
+        admin_api.DRAIN: drain,
+        admin_api.RESUME: drain,
+        admin_api.MEMBERS: members,
+        admin_api.VERDICTS: verdicts,
+        admin_api.LIMITS: limits,
     }
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -4,7 +4,7 @@
 from ..fleet.counting import Counting
 from ..policy import interface as i
 from ..policy.decide import Proxy
-from ..protocol import news
+from ..protocol import peer_messages
 from ..recovery.following import Asking, Following
 from ..terms import TENTH
 
@@ -126,7 +126,7 @@
                 answered=fields["scope"] != "restored",
             )
         if name == "INBOX":
-            kind, host_hash = news.decode_hex(fields.get("payload")) or (None, None)
+            kind, host_hash = peer_messages.decode_hex(fields.get("payload")) or (None, None)
             return (
                 i.NewsCame(fields["src"], self.host_by_hash[host_hash], kind)
                 if host_hash in self.host_by_hash
@@ -165,7 +165,7 @@
             return {
                 "SIGNAL": {
                     "recipient": "all" if effect.peer is None else effect.peer,
-                    "payload": news.encode(effect.what, self.host_hashes[effect.host]).hex(),
+                    "payload": peer_messages.encode(effect.what, self.host_hashes[effect.host]).hex(),
                 }
             }
         return {"OBSERVE": {"on": True}}
--- a/basalthook/transport/connection.py
+++ b/basalthook/transport/connection.py
@@ -11,7 +11,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from . import arrival
+from . import timestamps
 from .buffers import BufferPool
 from .descriptors import DescriptorBudget
 
@@ -88,7 +88,7 @@
         self.on_data = self.on_close = self.on_connected = None
         self.connect_started = self.connect_notice_delay = 0
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        arrival.enable(sock)
+        timestamps.enable(sock)
         self.stream = Stream(sock, self)
         descriptors.acquire()
 
@@ -123,7 +123,7 @@
             if getattr(error, "errno", None) in LOCAL_ERRORS:
                 stage = Stage.UNTRIED
             return on_connected(ConnectionFailure(stage, str(error)))
-        handshake_ns = arrival.handshake_time(self.stream.socket)
+        handshake_ns = timestamps.handshake_time(self.stream.socket)
         if handshake_ns is not None:
             self.connect_notice_delay = max(0, time.monotonic_ns() - self.connect_started - handshake_ns)
         on_connected(None)
@@ -134,7 +134,7 @@
         When this process is late, the timer can fire before the loop has processed a finished handshake;
         that is not the peer's fault.
         """
-        if not self.closed and not arrival.connect_finished(self.stream.socket):
+        if not self.closed and not timestamps.connect_finished(self.stream.socket):
             self.fail(reason)
 
     def start_reading(self, on_data, on_close) -> None:
@@ -165,7 +165,7 @@
             try:
                 try:
                     count, ancillary, _, _ = self.stream.socket.recvmsg_into(
-                        [buffer], arrival.ANCILLARY_BYTES
+                        [buffer], timestamps.ANCILLARY_BYTES
                     )
                 except BlockingIOError:
                     return
@@ -173,7 +173,7 @@
                     return self.fail(str(error))
                 if count:
                     with memoryview(buffer) as view, view[:count] as data:
-                        self.on_data(data, arrival.receive_delay(ancillary) if ancillary else 0)
+                        self.on_data(data, timestamps.receive_delay(ancillary) if ancillary else 0)
             finally:
                 self.buffers.release(buffer)
             if not count:
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -7,7 +7,7 @@
 
 from tornado.netutil import bind_sockets
 
-from . import arrival
+from . import timestamps
 
 BACKLOG = 1024
 MAX_ACCEPTS_PER_ITERATION = 128  # connections accepted before the loop serves other events
@@ -70,7 +70,7 @@
         """
         self.inherited, self.log = inherited is not None, log
         self.socket = inherited if self.inherited else open_listening_socket(address)
-        arrival.enable(self.socket)
+        timestamps.enable(self.socket)
         self.address, self.on_accept = self.socket.getsockname()[:2], on_accept
         self.accepting = self.paused = False
         self.loop: asyncio.AbstractEventLoop | None = None
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -27,8 +27,8 @@
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
 from basalthook.transport.descriptors import DescriptorBudget
+from basalthook.transport.event_loop import TimedSelector, run
 from basalthook.transport.listener import Listener
-from basalthook.transport.turns import TimedSelector, run
 
 SECONDS = 1.0
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.bodies.room import BodyMemory
+from basalthook.bodies.memory import BodyMemory
 from basalthook.protocol.http1 import Message, Parser
 from tests.fake import OK, SILENT, SocketHost
 from tests.loopback import Loopback
@@ -86,7 +86,7 @@
         await asyncio.wait(
             [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
         )
-        with unittest.mock.patch("basalthook.bodies.relay.STALL_TIMEOUT_S", 0.5):
+        with unittest.mock.patch("basalthook.bodies.forwarder.STALL_TIMEOUT_S", 0.5):
             (writer,) = (w for h in self.hosts for w in h.writers)
             first.writer.transport.pause_reading()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n" + b"x" * 50_000_000)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.console.calls import AdminRequest
+from basalthook.console.admin_api import AdminRequest
 from basalthook.policy import interface as i
 from basalthook.routing.orders import Orders
 from tests.fake import OK, SILENT, Caller, SocketHost
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -14,13 +14,13 @@
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
 from basalthook.recovery.door import EASE, LOST, Door
-from basalthook.transport import arrival
+from basalthook.transport import timestamps
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
 from basalthook.transport.connection import Stage as Reached
 from basalthook.transport.descriptors import DescriptorBudget
+from basalthook.transport.event_loop import TimedSelector, run
 from basalthook.transport.timers import COMPACT_THRESHOLD, Timers
-from basalthook.transport.turns import TimedSelector, run
 from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
 
 GOAL = 1_500
@@ -132,10 +132,10 @@
         self.assertEqual((timers.heap, timers.cancelled, timers.wakeup_handle), ([], 0, None))
 
     async def test_bytes_that_lay_unread_tell_for_how_long(self):
-        if arrival.TIMESTAMP_OPTION is None:
+        if timestamps.TIMESTAMP_OPTION is None:
             self.skipTest("this system stamps nothing")
         with socket.create_server(("127.0.0.1", 0)) as server:
-            arrival.enable(server)
+            timestamps.enable(server)
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
         connection, told = Connection(ours, BufferPool(64, 8), DescriptorBudget(64)), []
@@ -184,7 +184,7 @@
         """The system begins to stamp a moment after the first socket that asks for it."""
         asks = socket.socket()
         self.addCleanup(asks.close)
-        arrival.enable(asks)
+        timestamps.enable(asks)
         time.sleep(0.05)
 
     def play(self, story, *hosts, **told):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,7 +7,7 @@
 import orjson
 
 from basalthook.policy import interface as i
-from basalthook.protocol import application, catalogue, hosts, news
+from basalthook.protocol import application, catalogue, hosts, peer_messages
 from basalthook.protocol.http1 import MAX_HEAD_BYTES, Message, Parser, Rejection
 
 POST = (
@@ -265,6 +265,8 @@
 class PeerMessages(unittest.TestCase):
     def test_messages_round_trip_and_malformed_ones_are_ignored(self):
         for kind in (i.MET_FAULT, i.AT_FAULT):
-            self.assertEqual(news.decode_hex(news.encode(kind, 2**48 - 1).hex()), (kind, 2**48 - 1))
+            self.assertEqual(
+                peer_messages.decode_hex(peer_messages.encode(kind, 2**48 - 1).hex()), (kind, 2**48 - 1)
+            )
         for digits in (None, "", "0", "zz", "01", "00" * 7, "03" + "31" * 6, "01" * 8, "01" * 300):
-            self.assertIsNone(news.decode_hex(digits))
+            self.assertIsNone(peer_messages.decode_hex(digits))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from basalthook.routing.clock import TICK, TICKS
 from basalthook.routing.roster import Roster
 from basalthook.routing.starts import Starts
-from basalthook.transport import arrival
+from basalthook.transport import timestamps
 
 HOUR = 3600 * TICKS
 
@@ -55,10 +55,10 @@
         A step: real seconds passed, the wall clock's step, real seconds since the bytes were stamped.
         """
         real, ahead = 100.0, 1_000.0
-        with patch.object(arrival, "time") as clock:
+        with patch.object(timestamps, "time") as clock:
             clock.monotonic_ns.side_effect = lambda: int(real * 1e9)
             clock.time_ns.side_effect = lambda: int((real + ahead) * 1e9)
-            reader, found = arrival.TimestampReader(), []
+            reader, found = timestamps.TimestampReader(), []
             for passed, step, ago in steps:
                 real += passed
                 stamped_at = int((real - ago + ahead) * 1e9)
