--- a/basalthook/console/admin_server.py
+++ b/basalthook/console/admin_server.py
@@ -22,7 +22,7 @@
     __slots__ = ("server", "connection", "fd", "parser", "timer", "responded")
 
     def __init__(self, server: "AdminServer", connection: Connection, fd: int) -> None:
-        """`fd`: the socket's descriptor, which a closed socket no longer tells."""
+        """`fd`: the socket's descriptor, which can't be read from a closed socket."""
         self.fd = fd
         self.server, self.connection, self.responded = server, connection, False
         self.parser = Parser(responses=False, max_body=MAX_BODY_BYTES)
