--- a/basalthook/protocol/hosts.py
+++ b/basalthook/protocol/hosts.py
@@ -1,36 +1,43 @@
-"""A hop on the wire: the message that goes to a host, and what its answer means."""
+"""The messages exchanged with hosts: the request of an attempt, and what its response proves."""
 
 from ..policy import interface
-from .application import PER_HOP
+from .application import FIELDS_SET_PER_ATTEMPT
 from .http1 import Message
 
-WANTED = ("not-started",)  # what the parser of hosts' answers looks for
+PARSED_FIELDS = ("not-started",)  # fields that the parser of responses extracts
 
 
-def hop(message: Message, seconds: float) -> tuple[bytes, ...]:
-    """The transaction unchanged, with the time that we will wait; head and body, written in one call."""
+def attempt_request(message: Message, time_limit: float) -> tuple[bytes, ...]:
+    """Return the request of an attempt as its parts: the head, and the body if there is one.
+
+    The transaction is passed on unchanged, with the time limit of this attempt in seconds.
+    """
     body = message.body
-    sized = b"Content-Length: %d\r\n" % len(body) if body or message.method not in ("GET", "HEAD") else b""
+    framing = b"Content-Length: %d\r\n" % len(body) if body or message.method not in ("GET", "HEAD") else b""
     head = b"%b %b HTTP/1.1\r\n%bRequest-Timeout: %.4f\r\n%b\r\n" % (
         message.method.encode(),
         message.target.encode(),
-        message.lines_without(*PER_HOP),
-        seconds,
-        sized,
+        message.field_lines_without(*FIELDS_SET_PER_ATTEMPT),
+        time_limit,
+        framing,
     )
     return (head, body) if body else (head,)
 
 
-MAY_PASS = {408, 425, 429}  # of 4xx: these speak of the moment, not of the message
+TRANSIENT_STATUSES = {408, 425, 429}  # 4xx statuses that concern the moment, not the message
+
 
+def classify_response(response: Message, written: bool) -> str:
+    """Return the outcome that a response proves.
 
-def outcome(answer: Message, written: bool) -> str:
-    """What an answer proves. One that came before the whole hop was written can't be a commit."""
-    if answer.status in (503, 504) and answer.field("not-started") == "1":
+    `written`: whether the whole request was written before it came; otherwise it can't prove a commit.
+    """
+    if response.status in (503, 504) and response.field("not-started") == "1":
         return interface.REFUSED
-    if answer.status == 200:
+    if response.status == 200:
         return interface.COMMITTED if written else interface.ERROR
-    if written and 400 <= answer.status < 500 and answer.status not in MAY_PASS:
-        # guards against blaming hosts, and asking further ones, for a bad transaction
+    if written and 400 <= response.status < 500 and response.status not in TRANSIENT_STATUSES:
+        # a bad transaction: no fault of the host, and not to be tried at others
         return interface.DECLINED
+
     return interface.ERROR
--- a/basalthook/simwire/__main__.py
+++ b/basalthook/simwire/__main__.py
@@ -1,20 +1,20 @@
-"""The process loop: a batch on a line of standard input, a reply on a line of standard output."""
+"""The process loop: one batch per line of standard input, one reply per line of standard output."""
 
 import sys
 
 import orjson
 
-from .codec import Desk
+from .codec import BatchProcessor
 
 
 def main() -> int:
-    desk = Desk()
+    processor = BatchProcessor()
     read, write, flush = sys.stdin.buffer, sys.stdout.buffer.write, sys.stdout.buffer.flush
     for line in read:
         try:
-            reply = desk.serve(orjson.loads(line))
-        except Exception as fault:  # the bench ends the run on it; the trace is for whoever reads the log
-            sys.stderr.write(f"basalthook: cannot go on after {line[:200]!r}: {fault!r}\n")
+            reply = processor.process(orjson.loads(line))
+        except Exception as error:  # the simulator ends the run; the traceback goes to its log
+            sys.stderr.write(f"basalthook: cannot go on after {line[:200]!r}: {error!r}\n")
             raise
         write(orjson.dumps(reply) + b"\n")
         flush()
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -1,10 +1,10 @@
-"""Words, units and ids of the bench's wire, turned into the events and effects of the decisions."""
+"""Translates the simulator's wire protocol to events of the policy, and its effects to the wire protocol."""
 
 from .. import terms
 from ..fleet.counting import Counting
 from ..policy import interface
 from ..policy.decide import Proxy
-from ..protocol import news
+from ..protocol import peer_messages
 from ..recovery.following import Asking, Following
 from ..terms import TICK_NS
 
@@ -20,122 +20,131 @@
 }
 
 
-class Seat:
-    """One instance: its decisions, and its ids against the small numbers that stand for them."""
+class Instance:
+    """One proxy instance: its policy state, and the small integers that stand for ids on the wire."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.policy_settings(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
+        self.decider = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
         self.profiles = terms.profile_indices(setup)
-        self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
+        # address -> index; grows with every host ever listed, until a restart
+        self.hosts: dict[str, int] = {}
         self.addresses: list[str] = []
-        self.marks: list[int] = []  # of the same: hashed once, as lists come often
-        self.marked: dict[int, int] = {}  # and back; news name hosts by them
-        self.numbers: dict[str, int] = {}  # open transactions; emptied when one is closed and no hop is out
-        self.words: dict[int, list] = {}  # number -> [word, hops out, closed]
-        self.next = 0
+        self.host_hashes: list[int] = []  # by index; hashed once, as lists arrive often
+        self.host_by_hash: dict[int, int] = {}  # messages between proxies name hosts by hash
+        # of open transactions; removed once closed with no attempt open
+        self.tx_numbers: dict[str, int] = {}
+        self.transactions: dict[int, list] = {}  # number -> [wire id, open attempts, closed]
+        self.next_number = 0
 
-    def host(self, address: str) -> int:
-        known = self.hosts.get(address)
-        if known is None:
-            known = self.hosts[address] = len(self.addresses)
+    def host_index(self, address: str) -> int:
+        """Return the index of a host, assigning one if it is new."""
+        index = self.hosts.get(address)
+        if index is None:
+            index = self.hosts[address] = len(self.addresses)
             self.addresses.append(address)
-            self.marks.append(terms.stable_number(address))
-            self.marked[self.marks[known]] = known
-        return known
+            self.host_hashes.append(terms.stable_number(address))
+            self.host_by_hash[self.host_hashes[index]] = index
+        return index
 
-    def listed(self, records: list) -> tuple:
+    def decode_hosts(self, records: list) -> tuple:
+        """Return the hosts of a list."""
         return tuple(
             terms.host_entry(
-                number,
-                self.marks[number],
-                r.get("area", ""),
-                r.get("block", 0),
-                r["status"] == "in_service",
-                r.get("capacity_hint"),
-                r.get("came_up_ns"),
-                r.get("sku", ""),
-                r["status"] == "terminating",
+                index,
+                self.host_hashes[index],
+                record.get("area", ""),
+                record.get("block", 0),
+                record["status"] == "in_service",
+                record.get("capacity_hint"),
+                record.get("came_up_ns"),
+                record.get("sku", ""),
+                record["status"] == "terminating",
             )
-            for r in records
-            for number in (self.host(r["host"]),)
+            for record in records
+            for index in (self.host_index(record["host"]),)
         )
 
-    def close(self, tx: int, hops: int = 0, closed: bool = False) -> None:
-        entry = self.words.get(tx)
+    def _release(self, tx: int, attempts: int = 0, closed: bool = False) -> None:
+        """Change the number of open attempts of a transaction; forget it once it is closed with none open."""
+        entry = self.transactions.get(tx)
         if entry is None:
             return
-        entry[1] += hops
+        entry[1] += attempts
         entry[2] = entry[2] or closed
         if entry[2] and not entry[1]:
-            del self.words[tx]
-            del self.numbers[entry[0]]
+            del self.transactions[tx]
+            del self.tx_numbers[entry[0]]
 
-    def event(self, name: str, f: dict, lists: dict) -> tuple | None:
-        """The event in our words; None where it speaks of what is already closed here."""
+    def decode_event(self, name: str, fields: dict, lists: dict) -> tuple | None:
+        """Return the event that a wire event stands for, or None if it concerns what is closed here already.
+
+        Raises ValueError for an unknown name.
+        """
         if name == "QUERY":
-            tx = self.numbers[f["corr"]] = self.next
-            self.next += 1
-            self.words[tx] = [f["corr"], 0, False]
-            key, party = f.get("path_key"), f.get("party") or None
+            tx = self.tx_numbers[fields["corr"]] = self.next_number
+            self.next_number += 1
+            self.transactions[tx] = [fields["corr"], 0, False]
+            key, party = fields.get("path_key"), fields.get("party") or None
             return interface.TxArrived(
                 tx,
-                self.profiles[f["tier_class"]],
+                self.profiles[fields["tier_class"]],
                 terms.stable_number(key) if key else None,
-                f["patience_left_ns"] // TICK_NS,
+                fields["patience_left_ns"] // TICK_NS,
                 tenant=party and terms.stable_number(party),
             )
         if name == "VERDICT":
-            tx, closed = self.numbers.get(f["corr"]), bool(f.get("terminal"))
+            tx, closed = self.tx_numbers.get(fields["corr"]), bool(fields.get("terminal"))
             if tx is None:
                 return None
-            self.close(tx, -1, closed)
+            self._release(tx, -1, closed)
             return interface.AttemptEnded(
                 tx,
-                f.get("hop", 0),
-                self.host(f["host"]),
-                OUTCOMES[f["code"]],
-                f.get("lag_ns", 0) // TICK_NS,
+                fields.get("hop", 0),
+                self.host_index(fields["host"]),
+                OUTCOMES[fields["code"]],
+                fields.get("lag_ns", 0) // TICK_NS,
                 closed,
             )
         if name == "DEADLINE_HIT":
-            return interface.TimerDue(f["mark"])
+            return interface.TimerDue(fields["mark"])
         if name == "GONE":
-            tx = self.numbers.get(f["corr"])
+            tx = self.tx_numbers.get(fields["corr"])
             if tx is None:
                 return None
-            self.close(tx, 0, True)
+            self._release(tx, 0, True)
             return interface.ClientDisconnected(tx)
         if name == "UNDER_WAY":
-            tx = self.numbers.get(f["corr"])
-            return None if tx is None else interface.StreamStarted(tx, f.get("hop", 0))
+            tx = self.tx_numbers.get(fields["corr"])
+            return None if tx is None else interface.StreamStarted(tx, fields.get("hop", 0))
         if name == "VIEW":
-            if f["scope"] == "unavailable":
+            if fields["scope"] == "unavailable":
                 return interface.HostListFailed()
             return interface.HostListReceived(
-                self.listed(lists[f["slot"]]),
-                complete=f["scope"] != "update",
-                from_discovery=f["scope"] != "restored",
+                self.decode_hosts(lists[fields["slot"]]),
+                complete=fields["scope"] != "update",
+                from_discovery=fields["scope"] != "restored",
             )
         if name == "INBOX":
-            what, mark = news.read(f.get("payload")) or (None, None)
+            kind, host_hash = peer_messages.decode_hex(fields.get("payload")) or (None, None)
             return (
-                interface.PeerReportReceived(f["src"], self.marked[mark], what)
-                if mark in self.marked
+                interface.PeerReportReceived(fields["src"], self.host_by_hash[host_hash], kind)
+                if host_hash in self.host_by_hash
                 else None
             )
         if name == "PONG":
-            return None  # nothing is probed
+            return None  # this proxy sends no probes
         raise ValueError(f"unknown event {name}")
 
-    def action(self, effect: tuple) -> dict:
+    def encode_decision(self, effect: tuple) -> dict:
+        """Return the wire form of an effect."""
         kind = type(effect)
         if kind is interface.SendAttempt:
-            word = self.words[effect.tx]
-            word[1] += 1
+            entry = self.transactions[effect.tx]
+            entry[1] += 1
             return {
                 "FORWARD": {
-                    "corr": word[0],
+                    "corr": entry[0],
                     "host": self.addresses[effect.host],
                     "allow_for_ns": effect.time_limit * TICK_NS,
                 }
@@ -143,33 +152,34 @@
         if kind is interface.SetTimer:
             return {"SLEEP": {"delay_ns": effect.delay * TICK_NS, "mark": effect.timer_id}}
         if kind is interface.RollBack:
-            word = self.words[effect.tx][0]
-            self.close(effect.tx, 0, True)
-            return {"SHED": {"corr": word, "stay_away_ns": effect.retry_after * TICK_NS}}
+            tx_id = self.transactions[effect.tx][0]
+            self._release(effect.tx, 0, True)
+            return {"SHED": {"corr": tx_id, "stay_away_ns": effect.retry_after * TICK_NS}}
         if kind is interface.Abandon:
-            word = self.words[effect.tx][0]
-            self.close(effect.tx, 0, True)
-            return {"ABORT": {"corr": word}}
+            tx_id = self.transactions[effect.tx][0]
+            self._release(effect.tx, 0, True)
+            return {"ABORT": {"corr": tx_id}}
         if kind is interface.CancelAttempt:
-            return {"REVOKE": {"corr": self.words[effect.tx][0], "hop": effect.attempt}}
+            return {"REVOKE": {"corr": self.transactions[effect.tx][0], "hop": effect.attempt}}
         if kind is interface.SendPeerReport:
             return {
                 "SIGNAL": {
                     "recipient": "all" if effect.peer is None else effect.peer,
-                    "payload": news.encode(effect.report, self.marks[effect.host]).hex(),
+                    "payload": peer_messages.encode(effect.report, self.host_hashes[effect.host]).hex(),
                 }
             }
         return {"OBSERVE": {"on": True}}
 
 
-class Desk:
-    """All instances of one process; they share the numbered lists of the wire and nothing else."""
+class BatchProcessor:
+    """Handles the batches for all instances of one process; these share only the numbered host lists."""
 
     def __init__(self) -> None:
-        self.seats: dict[str, Seat] = {}
-        self.lists: dict[int, list] = {}  # at most sixteen, each replaced by the next of its number
+        self.instances: dict[str, Instance] = {}
+        self.lists: dict[int, list] = {}  # by slot; at most 16, each replaced by the next list for its slot
 
-    def serve(self, batch: dict) -> dict:
+    def process(self, batch: dict) -> dict:
+        """Return the reply to a batch."""
         now, parts = batch["ts_ns"] // TICK_NS, []
         for part in batch["parts"]:
             who, decisions = part["who"], []
@@ -178,16 +188,16 @@
                 if name == "DIRECTORY":
                     self.lists[fields.get("slot", 0)] = fields["records"]
                 elif name == "SPAWN":
-                    seat = self.seats[who] = Seat(fields["nonce64"], fields["setup"], now)
-                    decisions += map(seat.action, seat.mind.begin())
+                    instance = self.instances[who] = Instance(fields["nonce64"], fields["setup"], now)
+                    decisions += map(instance.encode_decision, instance.decider.begin())
                 elif name == "KILL":
-                    self.seats.pop(who, None)
-                    decisions.clear()  # what was decided before in this batch died with it
+                    self.instances.pop(who, None)
+                    decisions.clear()  # decisions made earlier in this batch are lost with the instance
                 else:
-                    seat = self.seats[who]
-                    told = seat.event(name, fields, self.lists)
-                    if told is not None:
-                        decisions += map(seat.action, seat.mind.handle(now, told))
+                    instance = self.instances[who]
+                    decoded = instance.decode_event(name, fields, self.lists)
+                    if decoded is not None:
+                        decisions += map(instance.encode_decision, instance.decider.handle(now, decoded))
             if decisions:
                 parts.append({"who": who, "decisions": decisions})
         return {"parts": parts}
--- a/basalthook/transport/buffers.py
+++ b/basalthook/transport/buffers.py
@@ -1,14 +1,19 @@
-"""Read buffers of one size, used again."""
+"""A pool of reusable read buffers of one size."""
 
 
 class BufferPool:
-    def __init__(self, size: int, kept: int) -> None:
-        self.size, self.kept = size, kept  # as many are out as connections read; so many are kept free
+    """Hands out buffers of `size` bytes and keeps up to `max_free` returned ones for reuse."""
+
+    def __init__(self, size: int, max_free: int) -> None:
+        self.size, self.max_free = (
+            size,
+            max_free,
+        )
         self.free: list[bytearray] = []
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffer: bytearray) -> None:
-        if len(self.free) < self.kept:
+    def release(self, buffer: bytearray) -> None:
+        if len(self.free) < self.max_free:
             self.free.append(buffer)
