--- a/basalthook/console/callers.py
+++ b/basalthook/console/callers.py
@@ -36,7 +36,7 @@
             elif self.parser.awaits_body:
                 self.answer(calls.Reply(417, "no body is wanted"))
         except Exception as fault:  # exceptions stop at the connection
-            self.callers.say("fault", where="console", error=repr(fault))
+            self.callers.log_event("fault", where="console", error=repr(fault))
             self.drop()
 
     def answer(self, reply: calls.Reply) -> None:
@@ -61,14 +61,14 @@
 class Callers:
     """`carry_out(call)` gives the Reply."""
 
-    def __init__(self, carry_out, timers: Timers, buffers: BufferPool, urgent: set[int], say) -> None:
+    def __init__(self, carry_out, timers: Timers, buffers: BufferPool, urgent: set[int], log_event) -> None:
         """`urgent`: descriptors that the loop looks at before all others."""
-        self.carry_out, self.timers, self.buffers, self.urgent, self.say = (
+        self.carry_out, self.timers, self.buffers, self.urgent, self.log_event = (
             carry_out,
             timers,
             buffers,
             urgent,
-            say,
+            log_event,
         )
         self.descriptors = Descriptors(RESERVE + 2 * PLACES)  # of their own; the clients' do not know them
         self.open: dict[Caller, None] = {}  # the longest there first; emptied by their end or by time
@@ -93,7 +93,7 @@
         call = calls.read(found)
         reply = self.carry_out(call) if isinstance(call, calls.Call) else call
         if not isinstance(call, calls.Call) or call.what not in calls.READ_ONLY:
-            self.say(
+            self.log_event(
                 "call", method=found.method, path=found.target[:200], status=reply.status, text=reply.text
             )
         return reply
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -47,12 +47,12 @@
         out,
         live,
         now: int,
-        say=lambda event, **fields: None,
+        log_event=lambda event, **fields: None,
     ) -> None:
         self.inner, self.proxy, self.limits = inner, proxy, {limit.id: limit for limit in limits}
         self.me, self.life, self.voters = me, life, voters
         self.chance, self.out, self.live = chance, out, live
-        self.position, self.proxies, self.say = position, proxies, say
+        self.position, self.proxies, self.log_event = position, proxies, log_event
         self.holder = Holder(now)
         self.keeper = Keeper(self.limits, hard_limit) if me in voters else None
         self.seat = self.keeper and Seat(me, life, voters, TERM, CLOCKS, chance, self.send, live, now)
@@ -350,7 +350,7 @@
         if self.since != self.seat.since:
             self.since = self.seat.since
             self.keeper.begin(now)
-            self.say("keeper", full_in_ms=self.keeper.lasts // 10)
+            self.log_event("keeper", full_in_ms=self.keeper.lasts // 10)
         return True
 
     def send(self, name: str, message: list) -> None:
--- a/basalthook/fleet/talk.py
+++ b/basalthook/fleet/talk.py
@@ -29,7 +29,7 @@
 
 
 class Talk:
-    """One process's part: `out(address, bytes)` sends; `say(event, **fields)` is the log."""
+    """One process's part: `out(address, bytes)` sends; `log_event(event, **fields)` is the log."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         lives: dict[str, int],
         chance: Random,
         out,
-        say=lambda event, **fields: None,
+        log_event=lambda event, **fields: None,
     ) -> None:
-        self.name, self.key, self.chance, self.out, self.say = name, key, chance, out, say
+        self.name, self.key, self.chance, self.out, self.log_event = name, key, chance, out, log_event
         self.member = Member(name, address, life, seeds, chance, self.send, self.changed)
         self.table = Table(name, life, lives)
         self.member.lived = self.table.live
@@ -68,7 +68,7 @@
         # guards against words of a process that is gone, at those whom no word of its successor has reached
         self.table.outlive(change.update.name, change.update.life)
         if change.before is not None or change.update.state:
-            self.say("member", name=change.update.name, state=STATES[change.update.state], by=change.by)
+            self.log_event("member", name=change.update.name, state=STATES[change.update.state], by=change.by)
 
     def send(self, address: tuple[str, int], message: list) -> int:
         data = wire.sealed(self.key, message)
@@ -154,7 +154,7 @@
         self.unsound[reason] = self.unsound.get(reason, 0) + 1
         if now - self.complained >= COMPLAIN:
             self.complained = now
-            self.say("datagrams refused", reason=reason, source=list(source), counts=dict(self.unsound))
+            self.log_event("datagrams refused", reason=reason, source=list(source), counts=dict(self.unsound))
 
     def rumoured(self, now: int, message: list, source) -> None:
         lacking = self.table.lacking(numbers(message[3], MARKS))
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -150,8 +150,8 @@
     `live()`: the members that live, sorted, this one among them.
     """
 
-    def __init__(self, proxy, table: Table, zone: str, live, say=lambda event, **fields: None) -> None:
-        self.proxy, self.table, self.live, self.say = proxy, table, live, say
+    def __init__(self, proxy, table: Table, zone: str, live, log_event=lambda event, **fields: None) -> None:
+        self.proxy, self.table, self.live, self.log_event = proxy, table, live, log_event
         self.seen = Seen(table.me, zone)
         self.states: dict[str, State] = {}  # subject -> ; emptied as strikes are forgotten
         self.told: dict[str, Word] = {}  # subject -> this proxy's last word; emptied by age
@@ -225,7 +225,7 @@
         self.words = {name: [w for w in found if w.who not in bad] for name, found in words.items()}
         if (self.table.me in bad) != self.alone:
             self.alone = self.table.me in bad
-            self.say("own link", bad=self.alone)
+            self.log_event("own link", bad=self.alone)
 
     def trials(self, now: int) -> list[Trial]:
         return [
@@ -313,7 +313,7 @@
             if following == BACK and name in self.numbers:
                 self.seen.anew(self.numbers[name], now)
             why = given if given == "forgotten" else state.reason
-            self.say(
+            self.log_event(
                 "verdict",
                 host=name,
                 state=following,
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -43,12 +43,12 @@
         profiles: list[str],
         fade: int,
         here: Here,
-        say,
+        log_event,
     ) -> None:
         """`profiles`: names by index; `fade`: ticks in which a judgement of the present fades by half."""
         self.neighbours, self.owner, self.clients, self.watch = neighbours, owner, clients, watch
         self.timers, self.clock, self.profiles, self.fade = timers, clock, profiles, fade
-        self.here, self.say = here, say
+        self.here, self.log_event = here, log_event
         self.roster = owner.roster
         self.other = ""  # the neighbour that shares the limits with this process
         self.accepting = self.ending = False
@@ -102,7 +102,7 @@
             )
         except SOUND as fault:
             return self.complain(f"{self.neighbours.known}: {fault!r}")
-        self.say(
+        self.log_event(
             "taken over",
             hosts=fitted,
             age_ms=(self.clock.now() - known["at"]) / 10,
@@ -141,14 +141,14 @@
             self.leave_known()
 
     def succeeded(self, successor: str) -> None:
-        self.say("succeeded", by=successor)
+        self.log_event("succeeded", by=successor)
         self.accepting = False
         self.share(successor)
         self.here.accept(False)
 
     def alone(self) -> None:
         """The neighbour is gone. If it had taken over, this one serves again."""
-        self.say("alone", without=self.other, serves=not self.ending)
+        self.log_event("alone", without=self.other, serves=not self.ending)
         self.share("")
         if not self.accepting and not self.ending:
             self.accepting = True
@@ -167,7 +167,7 @@
         for record_name, again in list(self.owed.items()):
             if not again():
                 del self.owed[record_name]
-                self.say(f"{record_name} kept")
+                self.log_event(f"{record_name} kept")
 
     def write_orders(self) -> str:
         wrong = record.write(self.neighbours.orders, self.roster.orders.plain())
@@ -193,7 +193,7 @@
             return self.complain(found.reason)
         changed = self.roster.orders.join(told)
         if changed:
-            self.say("orders taken over", hosts=sorted(changed), drained=told.drained)
+            self.log_event("orders taken over", hosts=sorted(changed), drained=told.drained)
             if self.roster.places:  # else the first list comes under them
                 self.owner.post(Ordered(changed))
         if self.roster.orders.drained != self.clients.drained:
@@ -226,7 +226,7 @@
     def complain(self, reason: str) -> None:
         if reason != self.complained:  # one line, not ten a second
             self.complained = reason
-            self.say("handover", reason=reason)
+            self.log_event("handover", reason=reason)
 
     # ---- its end
 
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -70,12 +70,12 @@
 
         talk.table.tell = noted
 
-        def say(event, **fields):
+        def log_event(event, **fields):
             self.said.append((fleet.now, n, event, fields))
 
         mind = None
         if "verdicts" in fleet.told.fleet.shares:
-            mind = Verdicts(proxy, talk.table, zone, talk.live, say)
+            mind = Verdicts(proxy, talk.table, zone, talk.live, log_event)
             mind.hurry = talk.rumours
             mind.acted = lambda name, kind, words: self.acted(n, kind, words)
         known = (
@@ -91,7 +91,7 @@
         fleet.later(TICK * self.ways.random(), self.tick, n, self.lives[n])
         beside = mind or Counting(proxy)
         if "limits" in fleet.told.fleet.shares:
-            beside = self.limit(n, life, proxy, beside, talk, say)
+            beside = self.limit(n, life, proxy, beside, talk, log_event)
             if first:  # a run begins with a fleet that holds nothing
                 beside.own_from = fleet.ticks_of(n)
                 if beside.seat is not None:
@@ -99,7 +99,7 @@
                     beside.keeper.nothing_out = True
         return beside
 
-    def limit(self, n: int, life: int, proxy, inner, talk: Talk, say) -> Limits:
+    def limit(self, n: int, life: int, proxy, inner, talk: Talk, log_event) -> Limits:
         fleet, told = self.fleet, self.fleet.told
         names = [p.name for p in told.load.profiles]
         voters = tuple(keepers(self.count))
@@ -118,7 +118,7 @@
             talk.post,
             talk.live,
             fleet.ticks_of(n),
-            say,
+            log_event,
         )
         limits.wake = lambda event: fleet.later(0, fleet.tell, n, event, fleet.lives[n])
         talk.kinds, talk.others = KINDS, limits.received
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.name, self.events, self.faults = "trial", Counter(), []
 
-    def say(self, event: str, **fields) -> None:
+    def log_event(self, event: str, **fields) -> None:
         self.events[event] += 1
         if event == "fault":
             self.faults.append(fields)
--- a/basalthook/program/figures.py
+++ b/basalthook/program/figures.py
@@ -13,17 +13,17 @@
     """Counts are since the start of the process; `list_age_s` is the time since discovery last answered."""
 
     def __init__(
-        self, owner: Owner, clients: Clients, attempts: Attempts, watch: Watch, timers: Timers, log
+        self, owner: Owner, clients: Clients, attempts: Attempts, watch: Watch, timers: Timers, log_event
     ) -> None:
         self.owner, self.clients, self.attempts, self.watch = owner, clients, attempts, watch
-        self.timers, self.log = timers, log
+        self.timers, self.log_event = timers, log_event
 
     def begin(self) -> None:
         self.timers.set(int(EVERY * self.timers.second), self.write)
 
     def write(self) -> None:
         following = self.watch.following
-        self.log(
+        self.log_event(
             "figures",
             list_age_s=round(self.watch.age(), 1),
             list_failures=following.failures,
--- a/basalthook/program/log.py
+++ b/basalthook/program/log.py
@@ -29,7 +29,7 @@
         self.writer = threading.Thread(target=self._write, name="log", daemon=True)
         self.writer.start()
 
-    def say(self, event: str, **fields) -> None:
+    def log_event(self, event: str, **fields) -> None:
         if len(self.events) >= WAITING_MOST:
             self.dropped += 1
             return
--- a/basalthook/program/reload.py
+++ b/basalthook/program/reload.py
@@ -21,9 +21,9 @@
 
 
 class Reload:
-    def __init__(self, read, take, timers: Timers, log) -> None:
+    def __init__(self, read, take, timers: Timers, log_event) -> None:
         """`read()` gives a StartUp or raises BadStart; `take(StartUp)` puts it in force."""
-        self.read, self.take, self.timers, self.log = read, take, timers, log
+        self.read, self.take, self.timers, self.log_event = read, take, timers, log_event
         self.timer, self.looks = None, 0
 
     def hangup(self) -> None:
@@ -43,6 +43,6 @@
     def refuse(self, reason: str) -> None:
         again = self.looks < LOOKS  # who writes it may not be done
         if self.looks == 1 or not again:
-            self.log("file refused", reason=reason, looks=self.looks, looks_again=again)
+            self.log_event("file refused", reason=reason, looks=self.looks, looks_again=again)
         if again:
             self.timer = self.timers.set(int(READ_AGAIN * self.timers.second), self.look)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -57,21 +57,28 @@
         self.clock = clock = Clock()
         roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
         self.timers = timers = Timers(clock.now, TICKS)
-        self.reload = Reload(reread, self.take, timers, log.say)
+        self.reload = Reload(reread, self.take, timers, log.log_event)
         buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
         self.descriptors = descriptors
         self.owner = Owner(
-            told.agreed, told.seed, clock, timers, roster, turns.behind if turns else lambda: 0, log.say
+            told.agreed, told.seed, clock, timers, roster, turns.behind if turns else lambda: 0, log.log_event
         )
         urgent: set[int] = set()
         if turns:
             turns.first, turns.urgent = descriptors.outgoing, urgent
         door = Door(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
         self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
-        self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.say)
+        self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.log_event)
         following = Following(told.agreed, self.owner.proxy.chance)
         self.watch = Watch(
-            told.discovery, told.known.version, following, self.owner, buffers, descriptors, timers, log.say
+            told.discovery,
+            told.known.version,
+            following,
+            self.owner,
+            buffers,
+            descriptors,
+            timers,
+            log.log_event,
         )
         self.owner.begin_attempt = self.attempts.begin
         roster.left = self.pool.close_idle
@@ -84,11 +91,11 @@
             buffers,
             descriptors,
             Room(told.bodies_most),
-            log.say,
+            log.log_event,
         )
-        self.figures = Figures(self.owner, self.clients, self.attempts, self.watch, timers, log.say)
-        self.staff = Staff(self.owner, roster, self.clients, clock, log.say)
-        self.callers = Callers(self.staff.carry_out, timers, buffers, urgent, log.say)
+        self.figures = Figures(self.owner, self.clients, self.attempts, self.watch, timers, log.log_event)
+        self.staff = Staff(self.owner, roster, self.clients, clock, log.log_event)
+        self.callers = Callers(self.staff.carry_out, timers, buffers, urgent, log.log_event)
         self.console: Listener | None = None
         self.listener: Listener | None = None
         self.together = None
@@ -106,7 +113,7 @@
                 clock,
                 timers,
                 bool(told.folder),
-                log.say,
+                log.log_event,
             )
         if told.folder:
             names = [name for name, _ in sorted(told.profiles.items(), key=lambda each: each[1])]
@@ -120,7 +127,7 @@
                 names,
                 told.agreed.fall_time,
                 Here(self.accept, self.share),
-                log.say,
+                log.log_event,
             )
             self.staff.keep = self.handover.keep_orders
 
@@ -207,7 +214,7 @@
         self.clients.ready = True
         if self.handover is not None:
             self.handover.ready()
-        self.log.say(
+        self.log.log_event(
             "ready",
             listen=list(self.listener.address),
             hosts=len(self.owner.roster.places),
@@ -231,11 +238,11 @@
         self.clients.room.most = told.bodies_most
         self.pool.times(told.idle_seconds, told.connect_seconds)
         self.watch.move(told.discovery)
-        self.log.say("file taken", discovery=list(told.discovery), needs_restart=left)
+        self.log.log_event("file taken", discovery=list(told.discovery), needs_restart=left)
 
     async def end(self, listener: Listener) -> None:
         """Idle connections go at once, while whoever crosses that can come anew; then all is finished."""
-        self.log.say(
+        self.log.log_event(
             "ending",
             connections=len(self.clients.open),
             transactions=len(self.owner.orders),
@@ -269,7 +276,7 @@
             self.clients.close_idle(rested=RESTED)
 
     def ended(self) -> None:
-        self.log.say("ended", unanswered=sum(not order.closed for order in self.owner.orders.values()))
+        self.log.log_event("ended", unanswered=sum(not order.closed for order in self.owner.orders.values()))
         if self.console is not None:
             self.console.close()
             self.callers.close()
--- a/basalthook/program/together.py
+++ b/basalthook/program/together.py
@@ -36,7 +36,7 @@
         clock: Clock,
         timers: Timers,
         wait: bool,
-        say,
+        log_event,
     ) -> None:
         """`told`: config.fleet.Told; `limits`: fleet.bounds.Limit each, `longest`: hard limit in seconds;
         `wait`: a process before this one may hold the address for a moment."""
@@ -46,7 +46,7 @@
             clock,
             timers,
             wait,
-            say,
+            log_event,
         )
         lives = {kind: int(seconds * TICKS) for kind, seconds in told.lives.items()}
         life = clocks.wall_ns() // 1_000_000
@@ -60,11 +60,11 @@
             lives,
             Random(seed ^ TALK),
             self.send,
-            say,
+            log_event,
         )
         self.mind = self.limits = None
         if told.verdicts:
-            self.mind = Verdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.say)
+            self.mind = Verdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.log_event)
             self.mind.hurry = self.talk.rumours
         owner.mind = self.mind or Counting(owner.proxy)
         if limits:
@@ -83,14 +83,14 @@
                 self.talk.post,
                 self.talk.live,
                 clock.now(),
-                self.say,
+                self.log_event,
             )
             self.limits.wake = owner.post
             self.talk.kinds, self.talk.others = KINDS, self.limits.received
             owner.mind = self.limits
         self.timer = None
 
-    def say(self, event: str, **fields) -> None:
+    def log_event(self, event: str, **fields) -> None:
         """With the host's id, where it is about one."""
         numbers = self.mind.numbers if self.mind is not None else {}
         place = self.owner.roster.places.get(numbers.get(fields.get("host", ""), -1))
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -122,7 +122,7 @@
             elif begun is not None:
                 self.pass_on(begun, late // TICK)
         except Exception as fault:  # exceptions stop here; how far the attempt had come still counts
-            self.attempts.say("fault", where="hop", error=repr(fault))
+            self.attempts.log_event("fault", where="hop", error=repr(fault))
             self.finish(Fault(self.stage, repr(fault)))
 
     def ended(self, fault: Fault) -> None:
@@ -187,7 +187,7 @@
             )
         else:
             reason = (self.refusal or "") if found is None or message else found.reason
-            attempts.say(
+            attempts.log_event(
                 "hop",
                 tx=self.order.asked.id,
                 hop=self.index,
@@ -214,11 +214,11 @@
 
 class Attempts:
     def __init__(
-        self, pool: HostPool, clock: Clock, timers: Timers, roster: Roster, owner: Owner, say
+        self, pool: HostPool, clock: Clock, timers: Timers, roster: Roster, owner: Owner, log_event
     ) -> None:
         self.pool, self.clock, self.timers, self.roster = pool, clock, timers, roster
-        self.owner, self.say = owner, say
-        self.sparingly = RateLimitedLog(say, clock, SUCCEEDED_MOST)
+        self.owner, self.log_event = owner, log_event
+        self.sparingly = RateLimitedLog(log_event, clock, SUCCEEDED_MOST)
         self.outcomes: Counter[str] = Counter()  # of attempts that are over
         self.refusals: Counter[str] = Counter()  # of attempts not begun after all, by reason
 
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -105,7 +105,7 @@
             self.broke(fault)
 
     def broke(self, fault: Exception) -> None:
-        self.clients.say("fault", where="client", error=repr(fault))
+        self.clients.log_event("fault", where="client", error=repr(fault))
         self.ended(None)
 
     def look(self, late: int) -> None:
@@ -376,10 +376,10 @@
         buffers: BufferPool,
         descriptors: Descriptors,
         room: Room,
-        say,
+        log_event,
     ) -> None:
         self.owner, self.clock, self.timers, self.door = owner, clock, timers, door
-        self.profiles, self.room, self.say = profiles, room, say
+        self.profiles, self.room, self.log_event = profiles, room, log_event
         self.buffers, self.descriptors = buffers, descriptors
         descriptors.givers.append(lambda: self.close_idle(1))
         self.last_answer = NO_END  # once this process ends: the moment of its last answer
@@ -387,7 +387,9 @@
         self.sending_away = None  # while drained by the staff: the next look at who is here
         self.sweeping = False
         self.ids: set[str] = set()  # of transactions not yet answered
-        self.sparingly = RateLimitedLog(say, clock, LOUD)  # clients may ask again as soon as turned away
+        self.sparingly = RateLimitedLog(
+            log_event, clock, LOUD
+        )  # clients may ask again as soon as turned away
         self.answers: Counter[str] = Counter()  # by kind, and clients that went before theirs
         self.open: dict[Client, None] = {}  # longest idle first; emptied as they end
         self.none_left: asyncio.Future | None = None
--- a/basalthook/routing/owner.py
+++ b/basalthook/routing/owner.py
@@ -99,9 +99,15 @@
     """
 
     def __init__(
-        self, agreed: i.Agreement, seed: int, clock: Clock, timers: Timers, roster: Roster, behind, say
+        self, agreed: i.Agreement, seed: int, clock: Clock, timers: Timers, roster: Roster, behind, log_event
     ) -> None:
-        self.agreed, self.clock, self.timers, self.roster, self.say = agreed, clock, timers, roster, say
+        self.agreed, self.clock, self.timers, self.roster, self.log_event = (
+            agreed,
+            clock,
+            timers,
+            roster,
+            log_event,
+        )
         self.behind = behind
         self.proxy = self.mind = Proxy(agreed, seed, clock.now())  # mind: the same, or who stands beside it
         self.queue: deque = deque()
@@ -137,7 +143,7 @@
         try:
             work(given)
         except Exception as fault:
-            self.say("fault", where=type(given).__name__, error=repr(fault))
+            self.log_event("fault", where=type(given).__name__, error=repr(fault))
 
     def decide(self, event) -> None:
         now = self.clock.now()
@@ -167,7 +173,7 @@
 
     def overdue(self, item: Overdue) -> None:
         if not item.order.closed:
-            self.say("fault", where="owner", error="no answer in time")
+            self.log_event("fault", where="owner", error="no answer in time")
             self.end(item.order, Answer("abandoned", reason="no answer in time"))
 
     def end(self, order: Order, answer: Answer | None) -> None:
@@ -193,7 +199,7 @@
         self.decide(self.roster.told(item.listing, item.answered))
         self.roster.let_go(self.proxy.servers)
         if changes := self.roster.changes:
-            self.say(
+            self.log_event(
                 "endpoints",
                 version=item.listing.version,
                 **{change: ids[:NAMED] for change, ids in changes.items()},
--- a/basalthook/routing/staff.py
+++ b/basalthook/routing/staff.py
@@ -13,9 +13,9 @@
 class Staff:
     """A yes is given once the order binds here. `keep(orders)` writes them down, and says what went wrong."""
 
-    def __init__(self, owner: Owner, roster: Roster, clients: Clients, clock: Clock, say) -> None:
+    def __init__(self, owner: Owner, roster: Roster, clients: Clients, clock: Clock, log_event) -> None:
         self.clock = clock
-        self.owner, self.roster, self.clients, self.say = owner, roster, clients, say
+        self.owner, self.roster, self.clients, self.log_event = owner, roster, clients, log_event
         self.keep = lambda orders: ""
         self.fleet = None  # what is told of the fleet, where this process talks with others
 
@@ -74,7 +74,7 @@
     def kept(self, text: str) -> Reply:
         wrong = self.keep(self.roster.orders)
         if wrong:
-            self.say("orders not kept", reason=wrong)
+            self.log_event("orders not kept", reason=wrong)
         return Reply(200, text + (f"; lost with this process: {wrong}" if wrong else ""))
 
     DOES = {
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -29,10 +29,10 @@
         buffers: BufferPool,
         descriptors: Descriptors,
         timers: Timers,
-        log,
+        log_event,
     ) -> None:
         self.address, self.version, self.following = address, version, following
-        self.owner, self.buffers, self.descriptors, self.log = owner, buffers, descriptors, log
+        self.owner, self.buffers, self.descriptors, self.log_event = owner, buffers, descriptors, log_event
         self.timers = timers
         self.calls: list[asyncio.Task] = []  # the newest last; at most BESIDE_MOST, emptied as they fail
         self.retry_timer = None  # the timer of the next try, while there is no call
@@ -65,7 +65,7 @@
         if address == self.address and self.retry_timer is None:
             return
         if address != self.address:
-            self.log(
+            self.log_event(
                 "list moved",
                 old=list(self.address),
                 new=list(address),
@@ -86,7 +86,7 @@
     def add_call(self, call: asyncio.Task) -> None:
         """That call has had no answer: guards against waiting for a silent one until its news counts."""
         if self.calls and self.calls[-1] is call and len(self.calls) < BESIDE_MOST:
-            self.log("list late", calls=len(self.calls))
+            self.log_event("list late", calls=len(self.calls))
             self.following.fell_silent()
             self.start_call(True)
 
@@ -101,9 +101,9 @@
         if self.calls:  # one of the others may still be answered
             delay = self.following.beside_delay(len(self.calls), len(self.reasons), turned_away)
             self.timers.set(delay, self.add_call, self.calls[-1])
-            return self.log("list call failed", reason=reason, others=len(self.calls))
+            return self.log_event("list call failed", reason=reason, others=len(self.calls))
         wait = self.following.retry_delay(turned_away)
-        self.log(
+        self.log_event(
             "list lost",
             reason="; ".join(dict.fromkeys(self.reasons)),
             again_ms=wait * 1000 // self.timers.second,
@@ -167,19 +167,19 @@
         for call in others:
             call.cancel()
         if others:
-            self.log("list calls cancelled", count=len(others), reason="another was answered first")
+            self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.reasons, self.answered_at = [me], [], self.timers.now()
         self.following.answered()
         if listing.version < self.version and not self.whole:
             # guards against a discovery that counts anew: it would be asked for what it never reaches, and
             # what it has changed would be taken for changes of another list
             self.whole = True
-            self.log("list behind", version=listing.version, ours=self.version)
+            self.log_event("list behind", version=listing.version, ours=self.version)
             return
         newer, self.version, self.whole = listing.version != self.version, listing.version, False
         if newer or listing.lines or listing.complete:
             doubled = {"doubled": listing.doubled} if listing.doubled else {}
-            self.log(
+            self.log_event(
                 "list",
                 version=listing.version,
                 complete=listing.complete,
@@ -188,7 +188,7 @@
             )
             self.owner.post(Listed(listing, answered=True))
         else:
-            self.log("list unchanged", version=listing.version)
+            self.log_event("list unchanged", version=listing.version)
         self.contacted()
         if not at_once:
             await asyncio.sleep(GAP if newer else PAUSE)
@@ -201,7 +201,7 @@
         )
         over = asyncio.get_running_loop().create_future()
         self.calls_begun += 1
-        self.log(
+        self.log_event(
             "list call",
             number=self.calls_begun,
             to=list(self.address),
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -61,10 +61,10 @@
         address: tuple[str, int],
         take,
         inherited: socket.socket | None = None,
-        log=lambda event, **fields: None,
+        log_event=lambda event, **fields: None,
     ) -> None:
         """`inherited`: a socket that listens there already, and goes on doing so when this process ends."""
-        self.inherited, self.log = inherited is not None, log
+        self.inherited, self.log_event = inherited is not None, log_event
         self.socket = inherited if self.inherited else listening(address)
         arrival.stamp(self.socket)
         self.address, self.take = self.socket.getsockname()[:2], take
@@ -95,7 +95,7 @@
 
     def halt(self, reason: str) -> None:
         """Nothing can be taken now: not looked at again at once, which would take up a core."""
-        self.log("accept failed", reason=reason, failed=self.failed, again_ms=int(self.wait * 1000))
+        self.log_event("accept failed", reason=reason, failed=self.failed, again_ms=int(self.wait * 1000))
         self.shut(self.wait)
         self.wait = min(LOOK_AGAIN_MOST, 2 * self.wait)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
     def __init__(self):
         self.lines = []
 
-    def say(self, event, **fields):
+    def log_event(self, event, **fields):
         self.lines.append({"event": event, **fields})
 
     def hops(self):
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -190,7 +190,9 @@
         async def main():
             started = [await host.start() for host in hosts]
             discovery = await SocketDiscovery().start()
-            said = unittest.mock.Mock(say=lambda event, **fields: log.append({"event": event, **fields}))
+            said = unittest.mock.Mock(
+                log_event=lambda event, **fields: log.append({"event": event, **fields})
+            )
             service = Service(decode(start_up(started, discovery, **told), {}), said, None, turns)
             listener = service.begin()
             try:
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -17,7 +17,7 @@
             stdout.fileno.return_value = writing
             log = Log("p0")
             for name, fields in events:
-                log.say(name, **fields)
+                log.log_event(name, **fields)
                 time.sleep(0.1)  # each in a write of its own
             log.close()
             os.close(writing)
