--- a/basalthook/bodies/relay.py
+++ b/basalthook/bodies/relay.py
@@ -13,7 +13,8 @@
 
 
 class Relay:
-    """`client`: has `piece(data) -> bool` (taken at once; if not it calls `go_on`) and `over(whole)`."""
+    """`client`: has `write_piece(data) -> bool` (taken at once; if not it calls `go_on`) and
+    `relay_finished(whole)`."""
 
     __slots__ = ("connection", "parser", "timers", "keep", "client", "timer", "ended")
 
@@ -36,7 +37,7 @@
     def hand_on(self) -> bool:
         """What is here goes on; whether more may come."""
         piece = self.parser.take_body()
-        taken = not piece or self.client.piece(piece)
+        taken = not piece or self.client.write_piece(piece)
         if self.ended:
             return False
         self.timers.cancel(self.timer)
@@ -66,7 +67,7 @@
             self.keep(self.connection)
         else:
             self.connection.close()
-        self.client.over(whole)
+        self.client.relay_finished(whole)
 
     def stop(self) -> None:
         """The client is gone, or one of the two has stalled: nothing more is passed on."""
@@ -74,7 +75,7 @@
             self.end()
             self.connection.close()
             if self.client is not None:
-                self.client.over(False)
+                self.client.relay_finished(False)
 
     def end(self) -> None:
         self.ended = True
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -9,9 +9,9 @@
 
 from ..protocol.catalogue import Line, Listing
 from ..recovery import knowledge
-from ..routing.clock import TICKS, Clock
-from ..routing.orders import Orders
-from ..routing.owner import Ordered, Owner, Shared
+from ..routing.clock import TICKS_PER_SECOND, Clock
+from ..routing.dispatcher import Dispatcher, OverridesChanged, ProcessCountChanged
+from ..routing.overrides import OperatorOverrides
 from ..transport.timers import Timers
 from . import record
 from .neighbours import Neighbours
@@ -20,7 +20,7 @@
 LOOK = 0.1  # seconds between two looks at what a neighbour has written: some microseconds each
 WRITE = 0.5  # seconds between two records of what is known; the staff's orders go at once
 LAST = 1.0  # seconds that the last record may take once all is answered
-OLD = 15 * TICKS  # what was known longer ago tells less than the start-up file
+OLD = 15 * TICKS_PER_SECOND  # what was known longer ago tells less than the start-up file
 SOUND = (ValueError, TypeError, KeyError, AttributeError)  # a record of other content
 
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         neighbours: Neighbours,
-        owner: Owner,
+        owner: Dispatcher,
         clients,
         watch,
         timers: Timers,
@@ -49,7 +49,7 @@
         self.neighbours, self.owner, self.clients, self.watch = neighbours, owner, clients, watch
         self.timers, self.clock, self.profiles, self.fade = timers, clock, profiles, fade
         self.here, self.log_event = here, log_event
-        self.roster = owner.roster
+        self.roster = owner.registry
         self.other = ""  # the neighbour that shares the limits with this process
         self.accepting = self.ending = False
         self.seen_orders = self.seen_serving = None
@@ -98,7 +98,12 @@
             return
         try:
             fitted = knowledge.taken_over(
-                self.owner.proxy, known, self.roster.numbers, self.profiles, self.clock.now(), self.fade
+                self.owner.policy,
+                known,
+                self.roster.numbers_by_id,
+                self.profiles,
+                self.clock.now(),
+                self.fade,
             )
         except SOUND as fault:
             return self.complain(f"{self.neighbours.known}: {fault!r}")
@@ -106,7 +111,7 @@
             "taken over",
             hosts=fitted,
             age_ms=(self.clock.now() - known["at"]) / 10,
-            orders=len(self.roster.orders.words),
+            orders=len(self.roster.overrides.by_host),
             beside=bool(self.other),
         )
 
@@ -123,7 +128,7 @@
     # ---- while it runs
 
     def look(self) -> None:
-        self.timer = self.timers.set(int(LOOK * TICKS), self.look)
+        self.timer = self.timers.set(int(LOOK * TICKS_PER_SECOND), self.look)
         if record.mark(self.neighbours.orders) != self.seen_orders:
             self.join_orders()
         if record.mark(self.neighbours.serving) != self.seen_serving:
@@ -134,10 +139,10 @@
         if self.other and not self.neighbours.alive(self.other):
             self.alone()
         if self.owed and self.clock.now() >= self.owed_next:
-            self.owed_next = self.clock.now() + int(WRITE * TICKS)
+            self.owed_next = self.clock.now() + int(WRITE * TICKS_PER_SECOND)
             self.write_owed()
         if self.accepting and self.clock.now() >= self.write_next:
-            self.write_next = self.clock.now() + int(WRITE * TICKS)
+            self.write_next = self.clock.now() + int(WRITE * TICKS_PER_SECOND)
             self.leave_known()
 
     def succeeded(self, successor: str) -> None:
@@ -170,14 +175,14 @@
                 self.log_event(f"{record_name} kept")
 
     def write_orders(self) -> str:
-        wrong = record.write(self.neighbours.orders, self.roster.orders.plain())
+        wrong = record.write(self.neighbours.orders, self.roster.overrides.to_dict())
         self.seen_orders = record.mark(self.neighbours.orders)
         return wrong
 
     def share(self, other: str) -> None:
         self.other = other
         self.here.share()
-        self.owner.post(Shared(2 if other else 1))
+        self.owner.post(ProcessCountChanged(2 if other else 1))
 
     def join_orders(self) -> None:
         """What the staff has told the neighbour holds here too."""
@@ -186,20 +191,20 @@
         if found is None:
             return
         try:
-            told = Orders.read(found)
+            told = OperatorOverrides.from_dict(found)
         except SOUND as fault:
             found = found if isinstance(found, Bad) else Bad(f"{self.neighbours.orders}: {fault!r}")
         if isinstance(found, Bad):
             return self.complain(found.reason)
-        changed = self.roster.orders.join(told)
+        changed = self.roster.overrides.merge(told)
         if changed:
             self.log_event("orders taken over", hosts=sorted(changed), drained=told.drained)
-            if self.roster.places:  # else the first list comes under them
-                self.owner.post(Ordered(changed))
-        if self.roster.orders.drained != self.clients.drained:
-            self.clients.drain(self.roster.orders.drained)
+            if self.roster.entries:  # else the first list comes under them
+                self.owner.post(OverridesChanged(changed))
+        if self.roster.overrides.drained != self.clients.drained:
+            self.clients.set_drained(self.roster.overrides.drained)
 
-    def keep_orders(self, orders: Orders) -> str:
+    def keep_orders(self, orders: OperatorOverrides) -> str:
         """Written down before the staff has its yes; what went wrong, else ""."""
         if self.neighbours.lock < 0:
             return "no folder to write in"
@@ -211,13 +216,15 @@
         return wrong
 
     def leave_known(self) -> None:
-        ids = {number: place.id for number, place in self.roster.places.items()}
-        lines = [list(place.line) for place in self.roster.places.values() if not place.line.removed]
+        ids = {number: place.id for number, place in self.roster.entries.items()}
+        lines = [
+            list(place.discovered) for place in self.roster.entries.values() if not place.discovered.removed
+        ]
         self.writer.put(
             self.neighbours.known,
             {
                 "list": {"version": self.watch.version, "lines": lines},
-                "known": knowledge.told(self.owner.proxy, ids, self.profiles) | {"at": self.clock.now()},
+                "known": knowledge.told(self.owner.policy, ids, self.profiles) | {"at": self.clock.now()},
             },
         )
         if self.writer.wrong:
--- a/basalthook/program/figures.py
+++ b/basalthook/program/figures.py
@@ -1,8 +1,8 @@
 """A line of figures in the log at a steady pace: what an operator plots, and raises alarms on."""
 
-from ..routing.attempts import Attempts
+from ..routing.attempts import AttemptRunner
 from ..routing.clients import Clients
-from ..routing.owner import Owner
+from ..routing.dispatcher import Dispatcher
 from ..routing.watch import Watch
 from ..transport.timers import Timers
 
@@ -13,7 +13,13 @@
     """Counts are since the start of the process; `list_age_s` is the time since discovery last answered."""
 
     def __init__(
-        self, owner: Owner, clients: Clients, attempts: Attempts, watch: Watch, timers: Timers, log_event
+        self,
+        owner: Dispatcher,
+        clients: Clients,
+        attempts: AttemptRunner,
+        watch: Watch,
+        timers: Timers,
+        log_event,
     ) -> None:
         self.owner, self.clients, self.attempts, self.watch = owner, clients, attempts, watch
         self.timers, self.log_event = timers, log_event
@@ -25,15 +31,15 @@
         following = self.watch.following
         self.log_event(
             "figures",
-            list_age_s=round(self.watch.age(), 1),
+            list_age_s=round(self.watch.seconds_since_answer(), 1),
             list_failures=following.failures,
             list_urgent=following.urgent,
-            list_calls=self.watch.calls_begun,
-            endpoints_ready=sum(place.ready for place in self.owner.roster.places.values()),
-            requests_open=len(self.owner.orders),
-            connections=len(self.clients.open),
-            answers=dict(self.clients.answers),
-            attempts=dict(self.attempts.outcomes),
-            attempts_not_begun=dict(self.attempts.refusals),
+            list_calls=self.watch.calls_started,
+            endpoints_ready=sum(place.ready for place in self.owner.registry.entries.values()),
+            requests_open=len(self.owner.transactions),
+            connections=len(self.clients.open_clients),
+            answers=dict(self.clients.response_counts),
+            attempts=dict(self.attempts.outcome_counts),
+            attempts_not_begun=dict(self.attempts.refusal_counts),
         )
         self.begin()
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -12,13 +12,13 @@
 from ..handover.neighbours import Neighbours
 from ..recovery.door import Door
 from ..recovery.following import SILENT, Following
-from ..routing.attempts import Attempts
+from ..routing.attempts import AttemptRunner
 from ..routing.clients import IDLE, NEW, Clients
-from ..routing.clock import TICKS, Clock
-from ..routing.owner import Owner
-from ..routing.roster import Roster
-from ..routing.staff import Staff
-from ..routing.starts import Starts
+from ..routing.clock import TICKS_PER_SECOND, Clock
+from ..routing.dispatcher import Dispatcher
+from ..routing.host_registry import HostRegistry
+from ..routing.operator_calls import OperatorCallHandler
+from ..routing.start_times import StartTimes
 from ..routing.watch import Watch
 from ..transport.buffers import BufferPool
 from ..transport.descriptors import Descriptors
@@ -55,12 +55,12 @@
         self.told, self.log, self.early, self.ending = told, log, early, asyncio.Event()
         self.handover: Handover | None = None
         self.clock = clock = Clock()
-        roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
-        self.timers = timers = Timers(clock.now, TICKS)
+        roster = HostRegistry(told.agreed.only_draining_binds, StartTimes(clock.now))
+        self.timers = timers = Timers(clock.now, TICKS_PER_SECOND)
         self.reload = Reload(reread, self.take, timers, log.log_event)
         buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
         self.descriptors = descriptors
-        self.owner = Owner(
+        self.owner = Dispatcher(
             told.agreed, told.seed, clock, timers, roster, turns.behind if turns else lambda: 0, log.log_event
         )
         urgent: set[int] = set()
@@ -68,8 +68,8 @@
             turns.first, turns.urgent = descriptors.outgoing, urgent
         door = Door(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
         self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
-        self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.log_event)
-        following = Following(told.agreed, self.owner.proxy.chance)
+        self.attempts = AttemptRunner(self.pool, clock, timers, roster, self.owner, log.log_event)
+        following = Following(told.agreed, self.owner.policy.chance)
         self.watch = Watch(
             told.discovery,
             told.known.version,
@@ -81,7 +81,7 @@
             log.log_event,
         )
         self.owner.begin_attempt = self.attempts.begin
-        roster.left = self.pool.close_idle
+        roster.on_host_left = self.pool.close_idle
         self.clients = Clients(
             self.owner,
             clock,
@@ -94,8 +94,8 @@
             log.log_event,
         )
         self.figures = Figures(self.owner, self.clients, self.attempts, self.watch, timers, log.log_event)
-        self.staff = Staff(self.owner, roster, self.clients, clock, log.log_event)
-        self.callers = Callers(self.staff.carry_out, timers, buffers, urgent, log.log_event)
+        self.staff = OperatorCallHandler(self.owner, roster, self.clients, clock, log.log_event)
+        self.callers = Callers(self.staff.handle, timers, buffers, urgent, log.log_event)
         self.console: Listener | None = None
         self.listener: Listener | None = None
         self.together = None
@@ -129,7 +129,7 @@
                 Here(self.accept, self.share),
                 log.log_event,
             )
-            self.staff.keep = self.handover.keep_orders
+            self.staff.save_overrides = self.handover.keep_orders
 
     def sockets(self, told: StartUp) -> int:
         """Descriptors for all but the staff, who have a few of their own; half while two processes live."""
@@ -190,10 +190,10 @@
                 inherited = listening(self.told.inherited, self.told.listen)
             except NotOurs as fault:
                 raise BadStart(f"RELAY_FD: {fault}") from None
-        self.listener = listener = self.listen(self.told.listen, self.clients.take, inherited)
+        self.listener = listener = self.listen(self.told.listen, self.clients.accept_socket, inherited)
         listener.open()
         # guards against a successor to whom news counts as told before it has asked
-        self.watch.begin(at_once=self.handover is not None and self.handover.other)
+        self.watch.start(at_once=self.handover is not None and self.handover.other)
         self.figures.begin()
         if self.together is not None:
             try:
@@ -217,13 +217,13 @@
         self.log.log_event(
             "ready",
             listen=list(self.listener.address),
-            hosts=len(self.owner.roster.places),
+            hosts=len(self.owner.registry.entries),
             **({"console": list(self.console.address)} if self.console else {}),
         )
 
     def listen(self, address: tuple[str, int], take, inherited=None) -> Listener:
         try:
-            return Listener(address, take, inherited, self.clients.sparingly)
+            return Listener(address, take, inherited, self.clients.rate_limited_log)
         except OSError as fault:
             where = ":".join(map(str, address))
             raise BadStart(f"cannot listen on {where}: {fault.strerror}") from None
@@ -235,22 +235,22 @@
         self.told = told._replace(**kept)
         self.log.name = told.name
         self.descriptors.bound(self.sockets(self.told))
-        self.clients.room.most = told.bodies_most
+        self.clients.body_memory.most = told.bodies_most
         self.pool.times(told.idle_seconds, told.connect_seconds)
-        self.watch.move(told.discovery)
+        self.watch.set_address(told.discovery)
         self.log.log_event("file taken", discovery=list(told.discovery), needs_restart=left)
 
     async def end(self, listener: Listener) -> None:
         """Idle connections go at once, while whoever crosses that can come anew; then all is finished."""
         self.log.log_event(
             "ending",
-            connections=len(self.clients.open),
-            transactions=len(self.owner.orders),
-            list_age_s=round(self.watch.age(), 1),
+            connections=len(self.clients.open_clients),
+            transactions=len(self.owner.transactions),
+            list_age_s=round(self.watch.seconds_since_answer(), 1),
         )
         self.clients.ready = False
-        self.clients.last_answer = self.clock.now() + int(
-            (self.told.longest_patience + KILL_AFTER - ANSWERED_BEFORE) * TICKS
+        self.clients.response_deadline = self.clock.now() + int(
+            (self.told.longest_patience + KILL_AFTER - ANSWERED_BEFORE) * TICKS_PER_SECOND
         )
         if self.handover is not None:
             self.handover.end()
@@ -263,20 +263,22 @@
             listener.close()
             await asyncio.sleep(READ_ON)
         self.clients.close_idle(states=(NEW, IDLE))
-        await self.clients.finish(self.told.longest_patience)
+        await self.clients.wait_until_closed(self.told.longest_patience)
         self.ended()
 
     async def send_over(self) -> None:
         """Each answer closes its connection, and its client comes to the next process. Idle ones first have
         that chance: guards against ends that cross a request just sent, as most are by who asks often."""
         for _ in range(int((ACCEPT_ON + READ_ON) / READ_ON)):
-            if not self.clients.open:
+            if not self.clients.open_clients:
                 return
             await asyncio.sleep(READ_ON)
-            self.clients.close_idle(rested=RESTED)
+            self.clients.close_idle(min_idle=RESTED)
 
     def ended(self) -> None:
-        self.log.log_event("ended", unanswered=sum(not order.closed for order in self.owner.orders.values()))
+        self.log.log_event(
+            "ended", unanswered=sum(not order.closed for order in self.owner.transactions.values())
+        )
         if self.console is not None:
             self.console.close()
             self.callers.close()
@@ -284,6 +286,6 @@
             self.together.close()
         if self.handover is not None:
             self.handover.close()
-        self.watch.end()
+        self.watch.stop()
         self.pool.close()
         self.timers.close()
--- a/basalthook/program/together.py
+++ b/basalthook/program/together.py
@@ -12,8 +12,8 @@
 from ..membership.driver import Driver
 from ..membership.member import STATES
 from ..routing import clock as clocks
-from ..routing.clock import TICKS, Clock
-from ..routing.owner import Owner
+from ..routing.clock import TICKS_PER_SECOND, Clock
+from ..routing.dispatcher import Dispatcher
 from ..transport.timers import Timers
 
 TICK = 0.05  # seconds between two looks
@@ -32,7 +32,7 @@
         limits: list,
         longest: float,
         seed: int,
-        owner: Owner,
+        owner: Dispatcher,
         clock: Clock,
         timers: Timers,
         wait: bool,
@@ -48,7 +48,7 @@
             wait,
             log_event,
         )
-        lives = {kind: int(seconds * TICKS) for kind, seconds in told.lives.items()}
+        lives = {kind: int(seconds * TICKS_PER_SECOND) for kind, seconds in told.lives.items()}
         life = clocks.wall_ns() // 1_000_000
         self.driver: Driver | None = None
         self.talk = Talk(
@@ -64,14 +64,14 @@
         )
         self.mind = self.limits = None
         if told.verdicts:
-            self.mind = Verdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.log_event)
+            self.mind = Verdicts(owner.policy, self.talk.table, agreed.zone, self.talk.live, self.log_event)
             self.mind.hurry = self.talk.rumours
-        owner.mind = self.mind or Counting(owner.proxy)
+        owner.event_handler = self.mind or Counting(owner.policy)
         if limits:
-            hard_limit = int(longest * TICKS)
+            hard_limit = int(longest * TICKS_PER_SECOND)
             self.limits = Limits(
-                owner.mind,
-                owner.proxy,
+                owner.event_handler,
+                owner.policy,
                 limits,
                 self.talk.name,
                 life,
@@ -87,13 +87,13 @@
             )
             self.limits.wake = owner.post
             self.talk.kinds, self.talk.others = KINDS, self.limits.received
-            owner.mind = self.limits
+            owner.event_handler = self.limits
         self.timer = None
 
     def log_event(self, event: str, **fields) -> None:
         """With the host's id, where it is about one."""
         numbers = self.mind.numbers if self.mind is not None else {}
-        place = self.owner.roster.places.get(numbers.get(fields.get("host", ""), -1))
+        place = self.owner.registry.entries.get(numbers.get(fields.get("host", ""), -1))
         self.log(event, **fields, **({"id": place.id} if place else {}))
 
     def begin(self) -> None:
@@ -103,7 +103,7 @@
             if not self.wait:
                 raise
             self.log("members wait", reason=fault.strerror)
-            self.timer = self.timers.set(int(AGAIN * TICKS), self.begin)
+            self.timer = self.timers.set(int(AGAIN * TICKS_PER_SECOND), self.begin)
             return
         if self.limits is not None:
             self.limits.come(self.clock.now())
@@ -112,12 +112,12 @@
         self.tick()
 
     def tick(self) -> None:
-        self.timer = self.timers.set(int(TICK * TICKS), self.tick)
+        self.timer = self.timers.set(int(TICK * TICKS_PER_SECOND), self.tick)
         now = self.clock.now()
         self.talk.tick(now)
         if self.limits is not None:
             self.limits.tick(now)
-        judged = self.mind.look(now, self.owner.seen(now)) if self.mind is not None else None
+        judged = self.mind.look(now, self.owner.observed_until(now)) if self.mind is not None else None
         if judged is not None:
             self.owner.post(judged)
 
@@ -162,7 +162,7 @@
         return sorted(rows, key=lambda row: row["name"])
 
     def verdicts(self) -> list[dict]:
-        places = self.owner.roster.places
+        places = self.owner.registry.entries
         if self.mind is None:
             return []
         return [
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -1,6 +1,6 @@
-"""One attempt: a message to an endpoint and its answer, or how far it had come.
+"""Attempts: a request sent to one host and the host's response, or how far the exchange got.
 
-From that alone follows what may have run.
+How far it got alone decides whether the host may have run the transaction.
 """
 
 from collections import Counter
@@ -12,72 +12,86 @@
 from ..transport.connection import ENDED, Connection, Fault, Stage
 from ..transport.hostpool import HostPool
 from ..transport.timers import Timers
-from .clock import TICK, TICKS, Clock
-from .owner import AttemptOver, Order, Owner
-from .ratelog import RateLimitedLog
-from .roster import Place, Roster
+from .clock import TICK_NS, TICKS_PER_SECOND, Clock
+from .dispatcher import AttemptResult, Dispatcher, Transaction
+from .host_registry import HostEntry, HostRegistry
+from .rate_limited_log import RateLimitedLog
 
-# bytes of an answer of no told length that are kept whole: a slow host's first ones may not wait for the rest
-OPEN_MOST = 4 * 1024
-SUCCEEDED_MOST = 50  # lines a second on attempts that succeeded
+# A response without a stated length is buffered up to this size. A longer one is streamed, so that the
+# first bytes from a slow host need not wait for the rest.
+MAX_BUFFERED_BYTES = 4 * 1024
+MAX_SUCCESS_LINES_PER_S = 50  # log lines on attempts that succeeded
 
 
 class Attempt:
-    """Driven by its connection and its timer; over once, whatever ends it."""
+    """Driven by its connection and its timer; finishes exactly once."""
 
     __slots__ = (
-        "attempts",
-        "order",
+        "runner",
+        "transaction",
         "index",
         "host",
-        "place",
-        "begun",
-        "limit",
+        "entry",
+        "begun_at",
+        "time_limit",
         "connection",
         "stage",
-        "stopped",
+        "stop_outcome",
         "reused",
-        "answer",
+        "response_parser",
         "refusal",
         "timer",
-        "over",
+        "finished",
     )
 
     def __init__(
-        self, attempts: "Attempts", order: Order, index: int, host: int, place: Place, begun: int, limit: int
+        self,
+        runner: "AttemptRunner",
+        transaction: Transaction,
+        index: int,
+        host: int,
+        entry: HostEntry,
+        begun_at: int,
+        time_limit: int,
     ) -> None:
-        self.attempts, self.order, self.index, self.host, self.place = attempts, order, index, host, place
-        self.begun, self.limit = begun, limit  # connecting counts
-        self.connection: Connection | None = None  # while it is this attempt's alone
-        self.stage, self.stopped, self.reused, self.over = Stage.UNTRIED, None, False, False
-        self.answer: Parser | None = None
+        self.runner, self.transaction, self.index, self.host, self.entry = (
+            runner,
+            transaction,
+            index,
+            host,
+            entry,
+        )
+        self.begun_at, self.time_limit = begun_at, time_limit  # ticks; the limit includes connecting
+        self.connection: Connection | None = None  # while this attempt alone uses it
+        self.stage, self.stop_outcome, self.reused, self.finished = Stage.UNTRIED, None, False, False
+        self.response_parser: Parser | None = None
         self.refusal: str | None = None  # why it was not begun
         self.timer = None
 
     def stop(self, outcome: str) -> None:
-        """Give it up: the connection is closed, whatever state it is in, and never used again."""
-        if not self.over:
-            self.stopped = outcome
+        """Give up: the connection is closed in whatever state it is, and never reused."""
+        if not self.finished:
+            self.stop_outcome = outcome
             self.finish(None)
 
     def expire(self) -> None:
-        """Guards against blaming a host for our own lateness: an answer that is here counts."""
+        """Time is up. A response that has arrived still counts: our own delay is not the host's fault."""
         if self.stage >= Stage.WRITTEN and self.connection is not None:
             self.connection.receive()
         self.stop(i.TIMED_OUT)
 
     def begin(self) -> None:
-        connection = self.attempts.pool.kept_one(self.place.door)
+        connection = self.runner.pool.kept_one(self.entry.pool_key)
         if connection is not None:
             self.reused, self.connection = True, connection
             return self.send()
-        connection = self.attempts.pool.fresh(self.place.address, self.up)
+        connection = self.runner.pool.fresh(self.entry.address, self.on_connected)
         if isinstance(connection, Fault):
             return self.finish(connection)
         self.stage, self.connection = Stage.CONNECTING, connection
 
-    def up(self, fault: Fault | None) -> None:
-        if self.over:
+    def on_connected(self, fault: Fault | None) -> None:
+        if self.finished:
             return
         if fault is not None:
             self.stage = fault.stage
@@ -85,113 +99,118 @@
         self.send()
 
     def send(self) -> None:
-        attempts, connection = self.attempts, self.connection
-        refusal = attempts.owner.refusal(self.order, self.host)  # what was decided may have changed meanwhile
+        runner, connection = self.runner, self.connection
+        # checked again right before the first byte: things may have changed since the attempt was decided
+        refusal = runner.dispatcher.refusal(self.transaction, self.host)
         if refusal is not None:
-            attempts.refusals[refusal] += 1
-        if self.over:  # its client was just seen to have left
+            runner.refusal_counts[refusal] += 1
+        if self.finished:  # the check found that the client has gone
             return
         if refusal is not None:
             self.refusal = refusal
-            self.stopped, self.stage = i.UNSENT, Stage.UNTRIED
-            self.keep()
+            self.stop_outcome, self.stage = i.UNSENT, Stage.UNTRIED
+            self.release_connection()
             return self.finish(None)
         self.stage = Stage.WRITING
-        self.answer = Parser(responses=True, wanted=hosts.WANTED, long=True, open_most=OPEN_MOST)
-        left = self.limit - (attempts.clock.now() - self.begun)
-        connection.follow(self.took, self.ended)
-        if not self.over and connection.write(
-            hosts.hop(self.order.asked.message, max(1, left) / TICKS), self.wrote
+        self.response_parser = Parser(
+            responses=True, wanted=hosts.WANTED, long=True, open_most=MAX_BUFFERED_BYTES
+        )
+        time_left = self.time_limit - (runner.clock.now() - self.begun_at)
+        connection.follow(self.on_data, self.on_closed)
+        if not self.finished and connection.write(
+            hosts.hop(self.transaction.request.message, max(1, time_left) / TICKS_PER_SECOND), self.on_written
         ):
-            self.wrote()
+            self.on_written()
 
-    def wrote(self) -> None:
+    def on_written(self) -> None:
         if self.stage == Stage.WRITING:
             self.stage = Stage.WRITTEN
 
-    def took(self, part, late: int) -> None:
+    def on_data(self, data, unread_ns: int) -> None:
+        """`unread_ns`: how long the data has waited in the kernel."""
         try:
-            self.answer.feed(part)
+            self.response_parser.feed(data)
             if self.stage == Stage.WRITTEN:
                 self.stage = Stage.ANSWERING
-            found, begun = self.answer.found, self.answer.begun
-            if isinstance(found, Message) and begun is not None:  # a long one that came whole in one read
-                found = found._replace(body=bytes(self.answer.take_body()))
+            found, head = self.response_parser.found, self.response_parser.begun
+            if isinstance(found, Message) and head is not None:  # a long response that came in a single read
+                found = found._replace(body=bytes(self.response_parser.take_body()))
             if found is not None:
-                self.finish(found, late // TICK)
-            elif begun is not None:
-                self.pass_on(begun, late // TICK)
-        except Exception as fault:  # exceptions stop here; how far the attempt had come still counts
-            self.attempts.log_event("fault", where="hop", error=repr(fault))
+                self.finish(found, unread_ns // TICK_NS)
+            elif head is not None:
+                self.stream_response(head, unread_ns // TICK_NS)
+        except Exception as fault:  # must not stop the event loop; the stage reached still counts
+            self.runner.log_event("fault", where="hop", error=repr(fault))
             self.finish(Fault(self.stage, repr(fault)))
 
-    def ended(self, fault: Fault) -> None:
-        # guards against passing on as whole what a reset cut short
+    def on_closed(self, fault: Fault) -> None:
+        # a response that lasts until the connection closes is complete only if the host closed it in order:
+        # after a reset it is cut short
         if fault.reason == ENDED:
-            self.answer.end()
-        self.finish(self.answer.found or fault)
-
-    def pass_on(self, begun: Message, late: int) -> None:
-        """A long answer has begun. It is this transaction's last word, and goes on without this attempt."""
-        if begun.status != 200 or self.stage != Stage.ANSWERING:
-            return self.finish(begun._replace(keep=False), late)  # its status is all that counts
-        self.over, attempts, pool = True, self.attempts, self.attempts.pool
-        attempts.timers.cancel(self.timer)
-        connection, self.connection, door = self.connection, None, self.place.door
-        late += connection.noticed_late // TICK if not self.reused else 0
-        relay = Relay(connection, self.answer, attempts.timers, lambda kept: pool.keep(kept, door))
-        elapsed = max(0, attempts.clock.now() - late - self.begun)
-        attempts.outcomes[i.COMMITTED] += 1
-        attempts.owner.post(
-            AttemptOver(self.order, self.index, self.host, i.COMMITTED, elapsed, late, begun, relay)
+            self.response_parser.end()
+        self.finish(self.response_parser.found or fault)
+
+    def stream_response(self, head: Message, unread: int) -> None:
+        """A long response has begun: it is final for the transaction, and streams on without this attempt."""
+        if head.status != 200 or self.stage != Stage.ANSWERING:
+            return self.finish(head._replace(keep=False), unread)  # only the status matters
+        self.finished, runner, pool = True, self.runner, self.runner.pool
+        runner.timers.cancel(self.timer)
+        connection, self.connection, pool_key = self.connection, None, self.entry.pool_key
+        unread += connection.noticed_late // TICK_NS if not self.reused else 0
+        relay = Relay(connection, self.response_parser, runner.timers, lambda idle: pool.keep(idle, pool_key))
+        elapsed = max(0, runner.clock.now() - unread - self.begun_at)
+        runner.outcome_counts[i.COMMITTED] += 1
+        runner.dispatcher.post(
+            AttemptResult(self.transaction, self.index, self.host, i.COMMITTED, elapsed, unread, head, relay)
         )
-        if relay.client is None:  # nobody waits for it
+        if relay.client is None:  # no client has taken it over
             relay.stop()
 
-    def keep(self) -> None:
-        """From here on the connection is the pool's: stopping this attempt must not close it."""
+    def release_connection(self) -> None:
+        """Return the connection to the pool; from here on, stopping this attempt must not close it."""
         connection, self.connection = self.connection, None
-        self.attempts.pool.keep(connection, self.place.door)
+        self.runner.pool.keep(connection, self.entry.pool_key)
 
-    def finish(self, found: Message | Fault | Malformed | None, late: int = 0) -> None:
-        """`late`: ticks that the answer had lain here unread; they are ours, not the host's."""
-        if self.over:
+    def finish(self, found: Message | Fault | Malformed | None, unread: int = 0) -> None:
+        """`unread`: ticks that the response waited here before it was read, which are not the host's."""
+        if self.finished:
             return
-        self.over = True
-        attempts, connection = self.attempts, self.connection
-        attempts.timers.cancel(self.timer)
+        self.finished = True
+        runner, connection = self.runner, self.connection
+        runner.timers.cancel(self.timer)
         if connection is not None:
-            late += connection.noticed_late // TICK if not self.reused else 0
+            unread += connection.noticed_late // TICK_NS if not self.reused else 0
             if (
                 isinstance(found, Message)
                 and found.keep
-                and not self.answer.rest
+                and not self.response_parser.rest
                 and (self.stage == Stage.ANSWERING)
             ):
-                self.keep()
+                self.release_connection()
             else:
                 connection.close()
                 self.connection = None
-        outcome, message = attempts.outcome(self, found), found if isinstance(found, Message) else None
-        elapsed = max(0, attempts.clock.now() - late - self.begun)
-        attempts.outcomes[outcome] += 1
+        outcome, message = runner.classify(self, found), found if isinstance(found, Message) else None
+        elapsed = max(0, runner.clock.now() - unread - self.begun_at)
+        runner.outcome_counts[outcome] += 1
         if outcome == i.COMMITTED:
-            attempts.sparingly(
+            runner.rate_limited_log(
                 "attempt",
-                tx=self.order.asked.id,
+                tx=self.transaction.request.id,
                 number=self.index,
-                endpoint=self.place.id,
+                endpoint=self.entry.id,
                 outcome="succeeded",
                 reused=self.reused,
                 ms=elapsed / 10,
             )
         else:
             reason = (self.refusal or "") if found is None or message else found.reason
-            attempts.log_event(
+            runner.log_event(
                 "hop",
-                tx=self.order.asked.id,
+                tx=self.transaction.request.id,
                 hop=self.index,
-                host=self.place.id,
+                host=self.entry.id,
                 outcome=outcome,
                 stage=self.stage.name.lower(),
                 reused=self.reused,
@@ -199,48 +218,69 @@
                 reason=reason,
                 status=message.status if message else None,
             )
-        attempts.owner.post(
-            AttemptOver(
-                self.order,
+        runner.dispatcher.post(
+            AttemptResult(
+                self.transaction,
                 self.index,
                 self.host,
                 outcome,
                 elapsed,
-                late,
+                unread,
                 message if outcome in (i.COMMITTED, i.DECLINED) else None,
             )
         )
 
 
-class Attempts:
+class AttemptRunner:
+    """Begins attempts, and counts their outcomes."""
+
     def __init__(
-        self, pool: HostPool, clock: Clock, timers: Timers, roster: Roster, owner: Owner, log_event
+        self,
+        pool: HostPool,
+        clock: Clock,
+        timers: Timers,
+        registry: HostRegistry,
+        dispatcher: Dispatcher,
+        log_event,
     ) -> None:
-        self.pool, self.clock, self.timers, self.roster = pool, clock, timers, roster
-        self.owner, self.log_event = owner, log_event
-        self.sparingly = RateLimitedLog(log_event, clock, SUCCEEDED_MOST)
-        self.outcomes: Counter[str] = Counter()  # of attempts that are over
-        self.refusals: Counter[str] = Counter()  # of attempts not begun after all, by reason
-
-    def begin(self, order: Order, index: int, host: int, place: Place, limit: int, over: bool) -> Attempt:
-        """What ends at once is told to the owner after this has returned: the owner is at an event now."""
-        attempt = Attempt(self, order, index, host, place, self.clock.now(), limit)
-        if over:
+        self.pool, self.clock, self.timers, self.registry = pool, clock, timers, registry
+        self.dispatcher, self.log_event = dispatcher, log_event
+        self.rate_limited_log = RateLimitedLog(log_event, clock, MAX_SUCCESS_LINES_PER_S)
+        self.outcome_counts: Counter[str] = Counter()  # of finished attempts
+        self.refusal_counts: Counter[str] = Counter()  # by reason: attempts that were decided but not begun
+
+    def begin(
+        self,
+        transaction: Transaction,
+        index: int,
+        host: int,
+        entry: HostEntry,
+        time_limit: int,
+        too_late: bool,
+    ) -> Attempt:
+        """Begin an attempt; if `too_late`, it ends as unsent.
+
+        The result of an attempt that ends at once is handled after this has returned: the dispatcher queues
+        it.
+        """
+        attempt = Attempt(self, transaction, index, host, entry, self.clock.now(), time_limit)
+        if too_late:
             attempt.stop(i.UNSENT)
         else:
-            attempt.timer = self.timers.set(limit, attempt.expire)
+            attempt.timer = self.timers.set(time_limit, attempt.expire)
             attempt.begin()
         return attempt
 
     @staticmethod
-    def outcome(attempt: Attempt, found: Message | Fault | Malformed | None) -> str:
+    def classify(attempt: Attempt, found: Message | Fault | Malformed | None) -> str:
+        """The outcome of an attempt that ended with this response or fault; None: it was stopped."""
         written = attempt.stage >= Stage.WRITTEN
         if isinstance(found, Message):
             return hosts.outcome(found, written)
-        if attempt.stopped is not None and written:
-            return attempt.stopped
-        if attempt.stopped is not None or attempt.stage == Stage.UNTRIED:
+        if attempt.stop_outcome is not None and written:
+            return attempt.stop_outcome
+        if attempt.stop_outcome is not None or attempt.stage == Stage.UNTRIED:
             return i.UNSENT
         if isinstance(found, Malformed) and written:
-            return i.ERROR  # guards against taking a host that answers, if badly, for one that is gone
+            return i.ERROR  # a host that sends malformed responses is up, so this is no lost connection
         return i.RESET if written else i.DROPPED if attempt.stage == Stage.WRITING else i.UNREACHABLE
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -1,4 +1,4 @@
-"""The application's connections: a transaction read whole, handed to the owner, answered once."""
+"""Connections from the application: reads whole requests, submits them as transactions, answers each once."""
 
 import asyncio
 from collections import Counter
@@ -12,44 +12,56 @@
 from ..transport.connection import Connection, Fault
 from ..transport.descriptors import Descriptors
 from ..transport.timers import Timers
-from .clock import TICK, TICKS, Clock
-from .owner import Answer, Arrived, Gone, Order, Overdue, Owner
-from .ratelog import RateLimitedLog
-
-STALLED = 2.5  # seconds that a message may take to come in: the first from connecting, others once begun
-STUCK = 0.8  # seconds without a byte after which a message has stopped, where places are short
-RESTED = 2.0  # seconds that a connection may idle where there are many
-PROGRESS = 16 * 1024  # bytes of a body that has to come meanwhile, at least: 64 kB/s is a good client
-NO_ROOM = 4.0  # seconds that a long body may wait for memory
-TAKE_IN = 10.0  # seconds that a peer may take to read its answer
-LINGER = 1.0  # seconds that a peer turned away gets to read why,
-LEFT_UNREAD = 1024 * 1024  # and bytes read from it meanwhile: a peer that sends on must not cost more
-LEAVE_IDLE = 0.4  # seconds from a drain on until idle connections go: new ones still come for 0.2;
-LEAVE_NEW = 1.0  # those without a word stay for so long;
-LOOK_AWAY = 0.2  # between two looks at who is there
-LOUD = 20  # lines on bad input, and on answers that are no commit, a second; more are counted
-# nothing has come yet; a part of a message has; turned away; between two messages; one in hand; the next here
-NEW, COMING, LEAVING, IDLE, BUSY, AHEAD = "new", "coming", "leaving", "idle", "busy", "ahead"
-NO_END = 2**63  # later than any moment of the clock
-OVERDUE = 200  # tenths of a millisecond past the hard limit: nothing should wait that long
+from .clock import TICK_NS, TICKS_PER_SECOND, Clock
+from .dispatcher import (
+    ClientDisconnected,
+    DeadlineMissed,
+    Dispatcher,
+    RequestReceived,
+    Response,
+    Transaction,
+)
+from .rate_limited_log import RateLimitedLog
+
+READ_TIMEOUT_S = (
+    2.5  # without progress on a request: the first counts from connecting, others from their first byte
+)
+SLOW_READ_S = 0.8  # a request without a new byte for so long counts as stopped when connections run short
+MAX_IDLE_S = 2.0  # when there are many connections
+MIN_PROGRESS_BYTES = (
+    16 * 1024
+)  # of a body that must arrive to restart the read timeout: 64 kB/s is a good client
+MEMORY_TIMEOUT_S = 4.0  # that a long body may wait for memory
+WRITE_TIMEOUT_S = 10.0  # that a client may take to read its response
+LINGER_S = 1.0  # that a rejected client gets to read the reason
+LINGER_MAX_BYTES = 1024 * 1024  # read from it meanwhile, so that a client that keeps sending costs no more
+DRAIN_IDLE_DELAY_S = 0.4  # from a drain until idle connections are closed: new ones still come for 0.2 s
+DRAIN_NEW_DELAY_S = 1.0  # connections without a first byte stay for so long while drained
+DRAIN_SWEEP_INTERVAL_S = 0.2
+MAX_LOG_LINES_PER_S = 20  # of each event; bad input and failures beyond are only counted
+# States of a connection: no byte yet; part of a request has arrived; rejected, closing; between two requests;
+# a request in hand; the next request has arrived already.
+NEW, READING, LINGERING, IDLE, BUSY, PIPELINED = "new", "coming", "leaving", "idle", "busy", "ahead"
+NEVER = 2**63  # ticks; later than any time of the clock
+DEADLINE_SLACK_TICKS = 200  # a response later than this after its deadline is reported as a defect
 
 
 class Client:
-    """One connection; its state says what its bytes mean and who may close it."""
+    """One connection; its state decides what its bytes mean and who may close it."""
 
     __slots__ = (
         "clients",
         "connection",
         "state",
         "parser",
-        "since",
+        "last_active",
         "timer",
-        "order",
-        "keep",
-        "unread",
-        "continued",
-        "mark",
-        "held",
+        "transaction",
+        "keep_alive",
+        "linger_bytes",
+        "continue_sent",
+        "progress_mark",
+        "memory_held",
         "body",
         "relay",
         "chunked",
@@ -58,454 +70,518 @@
     def __init__(self, clients: "Clients", connection: Connection) -> None:
         self.clients, self.connection, self.state = clients, connection, NEW
         self.parser = Parser(responses=False, wanted=application.WANTED, long=True)
-        self.mark = self.held = 0  # bytes of a body at the last look; of memory taken for it
-        self.body, self.relay, self.chunked = None, None, False  # a long body as far as it is here
-        self.order: Order | None = None
-        self.since = clients.clock.now()  # it idles, or is there without a word
-        self.keep, self.continued, self.unread = True, False, 0
-        self.timer = self.within(STALLED, self.stalled)  # guards against silence too
-
-    def begin(self) -> None:
-        self.connection.follow(self.took, self.ended)
-
-    def within(self, seconds: float, call) -> list:
-        return self.clients.timers.set(int(seconds * TICKS), call)
-
-    def took(self, part, late: int) -> None:
+        # bytes: of the body when the read timeout was last restarted; of memory reserved for the body
+        self.progress_mark = self.memory_held = 0
+        self.body, self.relay, self.chunked = None, None, False  # body: of a long request, as far as received
+        self.transaction: Transaction | None = None
+        self.last_active = clients.clock.now()  # ticks; connected, read from, or answered
+        self.keep_alive, self.continue_sent, self.linger_bytes = True, False, 0
+        self.timer = self.set_timer(READ_TIMEOUT_S, self.on_timeout)  # also for clients that never send
+
+    def start(self) -> None:
+        self.connection.follow(self.on_data, self.on_closed)
+
+    def set_timer(self, seconds: float, call) -> list:
+        return self.clients.timers.set(int(seconds * TICKS_PER_SECOND), call)
+
+    def on_data(self, data, unread_ns: int) -> None:
+        """`unread_ns`: how long the data has waited in the kernel."""
         try:
-            if self.state in (BUSY, AHEAD):  # its next request: read on once this one is answered
-                self.parser.rest += part
+            if self.state in (BUSY, PIPELINED):  # its next request: read on once this one is answered
+                self.parser.rest += data
                 self.connection.pause()
-            elif self.state == LEAVING:
-                self.skim(len(part))
+            elif self.state == LINGERING:
+                self.discard(len(data))
             else:
-                self.parse(part, late)
-        except Exception as fault:  # exceptions stop at the connection
-            self.broke(fault)
+                self.parse(data, unread_ns)
+        except Exception as fault:  # costs this connection only
+            self.on_exception(fault)
 
-    def parse(self, part, late: int) -> None:
-        self.parser.feed(part)
-        if self.parser.begun is None or self.collect():
-            self.look(late)
+    def parse(self, data, unread_ns: int) -> None:
+        self.parser.feed(data)
+        if self.parser.begun is None or self.collect_body():
+            self.process_input(unread_ns)
 
-    def read_on(self) -> None:
-        """What came behind the request just answered is the next one."""
+    def read_next(self) -> None:
+        """Continue with bytes that came after the request just answered."""
         try:
-            if self.state == AHEAD and not self.connection.closed:
+            if self.state == PIPELINED and not self.connection.closed:
                 self.state = IDLE
                 self.parse(b"", 0)
             if (
                 self.connection.paused
                 and not self.parser.found
-                and self.state != LEAVING
-                and (self not in self.clients.room.waiting)
+                and self.state != LINGERING
+                and (self not in self.clients.body_memory.waiting)
             ):
-                self.connection.follow(self.took, self.ended)
-        except Exception as fault:  # exceptions stop at the connection
-            self.broke(fault)
+                self.connection.follow(self.on_data, self.on_closed)
+        except Exception as fault:  # costs this connection only
+            self.on_exception(fault)
 
-    def broke(self, fault: Exception) -> None:
+    def on_exception(self, fault: Exception) -> None:
         self.clients.log_event("fault", where="client", error=repr(fault))
-        self.ended(None)
+        self.on_closed(None)
 
-    def look(self, late: int) -> None:
+    def process_input(self, unread_ns: int) -> None:
+        """Act on what the parser has found so far."""
         found, clients = self.parser.found, self.clients
         if found is None:
-            come = len(self.parser.body) + len(self.body or b"")
-            if self.state != COMING or self.parser.head and (not self.mark or come - self.mark > PROGRESS):
-                # its first byte, its whole head, or a good part of its body
+            received = len(self.parser.body) + len(self.body or b"")
+            if self.state != READING or (
+                self.parser.head
+                and (not self.progress_mark or received - self.progress_mark > MIN_PROGRESS_BYTES)
+            ):
+                # progress: the first byte, the whole head, or enough of the body
                 clients.timers.cancel(self.timer)
-                self.timer = self.within(STALLED, self.stalled)
-                self.mark = max(1, come) if self.parser.head else 0
-            self.state, self.since = COMING, clients.clock.now()
-            if self.parser.awaits_body and not self.continued:
-                self.continued = True
+                self.timer = self.set_timer(READ_TIMEOUT_S, self.on_timeout)
+                self.progress_mark = max(1, received) if self.parser.head else 0
+            self.state, self.last_active = READING, clients.clock.now()
+            if self.parser.awaits_body and not self.continue_sent:
+                self.continue_sent = True
                 self.connection.write((http1.CONTINUE,))
             return
         clients.timers.cancel(self.timer)
-        self.timer, self.state, self.keep, self.mark = None, BUSY, True, 0
+        self.timer, self.state, self.keep_alive, self.progress_mark = None, BUSY, True, 0
         if isinstance(found, Message):
             if self.body is not None:
                 found, self.body = found._replace(body=self.body), None
             if found.target == application.HEALTH:
-                self.keep = found.keep and not clients.drained
-                return self.write((clients.health(self.keep),))
+                self.keep_alive = found.keep and not clients.drained
+                return self.write((clients.health_response(self.keep_alive),))
             else:
-                self.keep = found.keep
-                if not clients.door.admit(clients.clock.now(), -(-late // TICK)):
-                    return self.not_now()
+                self.keep_alive = found.keep
+                if not clients.admission.admit(clients.clock.now(), -(-unread_ns // TICK_NS)):
+                    return self.shed()
                 found = application.asked(found, clients.profiles)
         if isinstance(found, Malformed):
-            return self.turn_away(found)
-        self.carry(found, late)
+            return self.reject(found)
+        self.submit(found, unread_ns)
 
-    def collect(self) -> bool:
-        """A long body: it needs memory before it is read on. Whether it has that."""
-        body, told = self.parser.take_body(), self.parser.begun.length
+    def collect_body(self) -> bool:
+        """Collect a long body. Memory is reserved before more is read; returns whether there is enough."""
+        body, length = self.parser.take_body(), self.parser.begun.length
         if self.body is None:
             self.body = bytearray()
-        need = told if told is not None else -(-(len(self.body) + len(body)) // STEP) * STEP
+        needed = length if length is not None else -(-(len(self.body) + len(body)) // STEP) * STEP
         self.body += body
-        return need <= self.held or self.ask_room(need - self.held)
+        return needed <= self.memory_held or self.reserve_memory(needed - self.memory_held)
 
-    def ask_room(self, more: int) -> bool:
-        room = self.clients.room
-        if self.held + more > room.most:
-            self.refuse_body(Malformed(413, "body too long for the memory here"))
+    def reserve_memory(self, count: int) -> bool:
+        memory = self.clients.body_memory
+        if self.memory_held + count > memory.most:
+            self.reject_body(Malformed(413, "request body exceeds the memory for bodies"))
             return False
-        if room.take(more):
-            self.held += more
+        if memory.take(count):
+            self.memory_held += count
             return True
-        self.state = BUSY  # with us: guards against going as one that has stopped
+        self.state = BUSY  # the wait is ours: the client must not be closed as one that has stopped sending
         self.connection.pause()
         self.clients.timers.cancel(self.timer)
-        self.timer = self.within(NO_ROOM, self.no_room)
-        room.wait(self, more, lambda: self.got_room(more))
+        self.timer = self.set_timer(MEMORY_TIMEOUT_S, self.on_memory_timeout)
+        memory.wait(self, count, lambda: self.on_memory_granted(count))
         return False
 
-    def got_room(self, more: int) -> None:
+    def on_memory_granted(self, count: int) -> None:
         try:
-            self.held += more
+            self.memory_held += count
             self.clients.timers.cancel(self.timer)
-            self.timer, self.mark = self.within(STALLED, self.stalled), len(self.body)
-            self.state, self.since = COMING, self.clients.clock.now()
+            self.timer, self.progress_mark = self.set_timer(READ_TIMEOUT_S, self.on_timeout), len(self.body)
+            self.state, self.last_active = READING, self.clients.clock.now()
             if self.parser.found is not None:
-                return self.look(0)
-            self.connection.follow(self.took, self.ended)
-        except Exception as fault:  # exceptions stop at the connection, not at whoever made room
-            self.broke(fault)
-
-    def no_room(self) -> None:
-        """Nothing of it has run."""
-        self.clients.sparingly("no memory", held=self.clients.room.held)
+                return self.process_input(0)
+            self.connection.follow(self.on_data, self.on_closed)
+        except Exception as fault:  # costs this connection only, not the one that has freed the memory
+            self.on_exception(fault)
+
+    def on_memory_timeout(self) -> None:
+        """Roll back: nothing of the transaction has run."""
+        self.clients.rate_limited_log("no memory", held=self.clients.body_memory.held)
         self.clients.timers.cancel(self.timer)
-        self.timer, self.keep, self.state = None, False, BUSY
-        self.free_room()
-        self.write((application.rolled_back(min(self.clients.come_back_most, TICKS // 2) / TICKS, False),))
+        self.timer, self.keep_alive, self.state = None, False, BUSY
+        self.release_memory()
+        self.write(
+            (
+                application.rolled_back(
+                    min(self.clients.max_retry_after, TICKS_PER_SECOND // 2) / TICKS_PER_SECOND, False
+                ),
+            )
+        )
 
-    def refuse_body(self, why: Malformed) -> None:
+    def reject_body(self, why: Malformed) -> None:
         self.clients.timers.cancel(self.timer)
         self.timer, self.state = None, BUSY
-        self.free_room()
+        self.release_memory()
         self.connection.pause()
-        self.turn_away(why)
+        self.reject(why)
 
-    def free_room(self) -> None:
-        """The body is not needed any more."""
-        held, self.held, self.body, self.mark = self.held, 0, None, 0
-        self.clients.room.withdraw(self)
+    def release_memory(self) -> None:
+        """The body is no longer needed."""
+        held, self.memory_held, self.body, self.progress_mark = self.memory_held, 0, None, 0
+        self.clients.body_memory.withdraw(self)
         if held:
-            self.clients.room.give(held)
+            self.clients.body_memory.give(held)
+
+    def shed(self) -> None:
+        """Shed load: this process is behind, so the transaction is rolled back before it costs more.
 
-    def not_now(self) -> None:
-        """This process can't keep up: rolled back before it costs more; nothing of it has run."""
-        clients, come_back = self.clients, min(self.clients.come_back_most, self.clients.door.come_back())
-        clients.sparingly(
+        Nothing of it has run.
+        """
+        clients, retry_after = (
+            self.clients,
+            min(self.clients.max_retry_after, self.clients.admission.come_back()),
+        )
+        clients.rate_limited_log(
             "door",
-            share=round(clients.door.share(), 3),
-            mean_ms=clients.door.mean / 10,
-            turned_away=clients.door.turned_away,
+            share=round(clients.admission.share(), 3),
+            mean_ms=clients.admission.mean / 10,
+            turned_away=clients.admission.turned_away,
         )
-        self.keep = self.keep and clients.stay()
-        self.write((application.rolled_back(come_back / TICKS, self.keep),))
+        self.keep_alive = self.keep_alive and clients.allows_keep_alive()
+        self.write((application.rolled_back(retry_after / TICKS_PER_SECOND, self.keep_alive),))
 
-    def carry(self, asked: Asked, late: int) -> None:
+    def submit(self, request: Asked, unread_ns: int) -> None:
+        """Pass the transaction to the dispatcher."""
         clients = self.clients
-        if asked.id in clients.ids:  # guards against answering one client with what another asked
-            return self.turn_away(Malformed(409, "this Request-Id is open already"))
-        clients.ids.add(asked.id)
-        came = clients.clock.now() - -(-late // TICK)
-        limit = min(came + int(asked.timeout * TICKS), clients.last_answer)
-        self.order = order = Order(asked, came, limit, self.answer, self.left)
-        self.timer = clients.timers.set(order.hard_limit - clients.clock.now() + OVERDUE, self.overdue)
-        clients.owner.post(Arrived(order))
-
-    def settled(self) -> Order:
-        """The transaction in hand has its answer, or nobody waits for it."""
-        order, self.order = self.order, None
-        self.free_room()
-        self.clients.ids.discard(order.asked.id)
+        if request.id in clients.open_ids:  # else one client could get the response to another one's request
+            return self.reject(Malformed(409, "a transaction with this Request-Id is open"))
+        clients.open_ids.add(request.id)
+        received_at = clients.clock.now() - -(-unread_ns // TICK_NS)
+        deadline = min(received_at + int(request.timeout * TICKS_PER_SECOND), clients.response_deadline)
+        self.transaction = transaction = Transaction(
+            request, received_at, deadline, self.respond, self.check_gone
+        )
+        self.timer = clients.timers.set(
+            transaction.deadline - clients.clock.now() + DEADLINE_SLACK_TICKS, self.on_deadline_missed
+        )
+        clients.dispatcher.post(RequestReceived(transaction))
+
+    def finish_transaction(self) -> Transaction:
+        """The transaction in hand has its response, or its client is gone."""
+        transaction, self.transaction = self.transaction, None
+        self.release_memory()
+        self.clients.open_ids.discard(transaction.request.id)
         self.clients.timers.cancel(self.timer)
         self.timer = None
-        return order
+        return transaction
 
-    def answer(self, answer: Answer) -> None:
-        if self.order is None:  # it has left; the owner is about to be told
+    def respond(self, response: Response) -> None:
+        if self.transaction is None:  # the client has gone, which the dispatcher is about to learn
             return
         try:
-            clients, order = self.clients, self.settled()
-            self.keep = self.keep and clients.stay()
-            clients.answers[answer.kind] += 1
-            if answer.kind != "committed":
-                clients.sparingly(
+            clients, transaction = self.clients, self.finish_transaction()
+            self.keep_alive = self.keep_alive and clients.allows_keep_alive()
+            clients.response_counts[response.kind] += 1
+            if response.kind != "committed":
+                clients.rate_limited_log(
                     "answer",
-                    tx=order.asked.id,
-                    kind=answer.kind,
-                    hops=len(order.attempts),
-                    left_ms=(order.hard_limit - clients.clock.now()) / 10,
-                    come_back_ms=answer.come_back / 10,
-                    reason=answer.reason,
+                    tx=transaction.request.id,
+                    kind=response.kind,
+                    hops=len(transaction.attempts),
+                    left_ms=(transaction.deadline - clients.clock.now()) / 10,
+                    come_back_ms=response.retry_after / 10,
+                    reason=response.reason,
                 )
-            if answer.relay is not None:
-                return self.pass_on(answer, order)
-            self.write(clients.worded(answer, order, self.keep))
-        except Exception as fault:  # exceptions stop at the connection
-            self.broke(fault)
-
-    def pass_on(self, answer: Answer, order: Order) -> None:
-        """A host's long answer, as it comes."""
-        known, modern = answer.message.length is not None, order.asked.message.minor > 0
-        self.chunked = not known and modern
-        self.keep = self.keep and (known or modern)
-        self.relay = answer.relay
-        head = application.committed_long(answer.message, self.keep, self.chunked)
+            if response.relay is not None:
+                return self.stream_response(response, transaction)
+            self.write(clients.encode_response(response, transaction, self.keep_alive))
+        except Exception as fault:  # costs this connection only
+            self.on_exception(fault)
+
+    def stream_response(self, response: Response, transaction: Transaction) -> None:
+        """Pass on a long response as it arrives from the host."""
+        has_length, is_http_1_1 = (
+            response.message.length is not None,
+            transaction.request.message.minor > 0,
+        )
+        self.chunked = not has_length and is_http_1_1
+        self.keep_alive = self.keep_alive and (has_length or is_http_1_1)
+        self.relay = response.relay
+        head = application.committed_long(response.message, self.keep_alive, self.chunked)
         self.relay.begin(self)
         if self.connection.write((head,), self.relay.go_on):
             self.relay.go_on()
 
-    def piece(self, data) -> bool:
-        """Whether the kernel has taken it; else the relay goes on once it has."""
+    def write_piece(self, data) -> bool:
+        """Write a piece for the relay. Returns whether the kernel took it; if not, the relay waits."""
         return self.connection.write(application.chunk(data) if self.chunked else (data,), self.relay.go_on)
 
-    def over(self, whole: bool) -> None:
-        """The long answer is all there; or it broke off, and the client has to be able to tell."""
+    def relay_finished(self, whole: bool) -> None:
+        """The long response is complete; or it broke off, and the connection is reset to show that."""
         self.relay = None
         if self.connection.closed:
-            return self.clients.drop(self)
+            return self.clients.close_client(self)
         if not whole:
-            self.clients.sparingly("cut short")
+            self.clients.rate_limited_log("cut short")
             self.connection.reset()
-            return self.clients.drop(self)
+            return self.clients.close_client(self)
         self.write((application.LAST_CHUNK,) if self.chunked else ())
 
-    def overdue(self) -> None:
-        self.clients.owner.post(Overdue(self.order))  # in its turn: the answer may wait before it
+    def on_deadline_missed(self) -> None:
+        self.clients.dispatcher.post(DeadlineMissed(self.transaction))  # the response may be queued before it
 
     def write(self, parts: tuple[bytes, ...]) -> None:
-        """An answer; then the next message, or the end."""
-        if self.connection.write(parts, self.written):
-            self.written()
+        """Write a response; then go on to the next request, or close."""
+        if self.connection.write(parts, self.on_written):
+            self.on_written()
         elif not self.connection.closed:
-            self.timer = self.within(TAKE_IN, self.ended_for)
+            self.timer = self.set_timer(WRITE_TIMEOUT_S, self.on_write_timeout)
 
-    def ended_for(self) -> None:
-        self.ended(None)  # the peer does not read; there is nobody to tell
+    def on_write_timeout(self) -> None:
+        self.on_closed(None)  # the client does not read, so it can't be told why
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         self.clients.timers.cancel(self.timer)
         self.timer = None
-        if self.held:  # answered before it reached the owner
-            self.free_room()
-        if not self.keep:
-            if self.connection.paused:  # guards against an answer lost to what its reader wrote meanwhile
-                return self.leave()
-            return self.clients.drop(self)
+        if self.memory_held:  # answered before it reached the dispatcher
+            self.release_memory()
+        if not self.keep_alive:
+            if (
+                self.connection.paused
+            ):  # closing with unread bytes would reset the connection and lose the response
+                return self.linger()
+            return self.clients.close_client(self)
         self.parser.again()
-        self.continued, self.state = False, AHEAD if self.parser.rest else IDLE
-        self.clients.rest(self)
-        if self.state == AHEAD or self.connection.paused:
-            self.clients.timers.set(0, self.read_on)  # not from here: a hundred in a row would nest
-
-    def turn_away(self, why: Malformed) -> None:
-        """Bad input: say so, and give the peer time to read it before the connection ends."""
-        self.clients.sparingly("bad input", status=why.status, reason=why.reason)
-        self.keep = False
-        if self.connection.write((application.told(why.status, why.reason, False),), self.leave):
-            self.leave()
+        self.continue_sent, self.state = False, PIPELINED if self.parser.rest else IDLE
+        self.clients.mark_idle(self)
+        if self.state == PIPELINED or self.connection.paused:
+            self.clients.timers.set(0, self.read_next)  # not called here: many pipelined requests would nest
+
+    def reject(self, why: Malformed) -> None:
+        """Reject bad input, and give the client time to read the reason before the connection closes."""
+        self.clients.rate_limited_log("bad input", status=why.status, reason=why.reason)
+        self.keep_alive = False
+        if self.connection.write((application.told(why.status, why.reason, False),), self.linger):
+            self.linger()
         elif not self.connection.closed:
-            self.timer = self.within(TAKE_IN, self.ended_for)
+            self.timer = self.set_timer(WRITE_TIMEOUT_S, self.on_write_timeout)
 
-    def leave(self) -> None:
+    def linger(self) -> None:
         self.clients.timers.cancel(self.timer)
-        self.state, self.unread = LEAVING, LEFT_UNREAD
-        self.timer = self.within(LINGER, self.ended_for)
+        self.state, self.linger_bytes = LINGERING, LINGER_MAX_BYTES
+        self.timer = self.set_timer(LINGER_S, self.on_write_timeout)
         self.connection.end_sending()
         if self.connection.paused:
-            self.connection.follow(self.took, self.ended)
+            self.connection.follow(self.on_data, self.on_closed)
 
-    def skim(self, count: int) -> None:
-        self.unread -= count
-        if self.unread <= 0 and not self.connection.paused:
-            self.connection.pause()  # it sends on: no more is read, and it has time to see why
+    def discard(self, count: int) -> None:
+        self.linger_bytes -= count
+        if self.linger_bytes <= 0 and not self.connection.paused:
+            self.connection.pause()  # no more is read; the client still gets time to read the reason
             self.clients.timers.cancel(self.timer)
-            self.timer = self.within(LINGER, self.ended_for)
+            self.timer = self.set_timer(LINGER_S, self.on_write_timeout)
 
-    def stalled(self) -> None:
-        """Guards against peers that stop half-way, or never begin, and hold a connection for ever."""
-        if self.state == COMING:
+    def on_timeout(self) -> None:
+        """Close a connection whose client stopped within a request or never began one, and would hold it."""
+        if self.state == READING:
             self.connection.write((application.told(408, "stopped half-way", False),))
-        self.clients.drop(self)
+        self.clients.close_client(self)
 
-    def ended(self, _: Fault | None) -> None:
-        order, relay = self.order, self.relay
-        if order is not None:
-            self.settled()
+    def on_closed(self, _: Fault | None) -> None:
+        transaction, relay = self.transaction, self.relay
+        if transaction is not None:
+            self.finish_transaction()
         if relay is not None:
             self.connection.close()
             relay.stop()
-        self.clients.drop(self)
-        if order is not None:
-            self.clients.answers["client gone"] += 1
-            self.clients.sparingly(
+        self.clients.close_client(self)
+        if transaction is not None:
+            self.clients.response_counts["client gone"] += 1
+            self.clients.rate_limited_log(
                 "client gone",
-                tx=order.asked.id,
-                hops=len(order.attempts),
-                left_ms=(order.hard_limit - self.clients.clock.now()) / 10,
+                tx=transaction.request.id,
+                hops=len(transaction.attempts),
+                left_ms=(transaction.deadline - self.clients.clock.now()) / 10,
             )
-            self.clients.owner.post(Gone(order))
+            self.clients.dispatcher.post(ClientDisconnected(transaction))
 
-    def left(self) -> bool:
-        """Whether the client has gone: unread bytes may hide its end from who waits for more of them."""
+    def check_gone(self) -> bool:
+        """Whether the client has gone. While reading is paused, unread bytes hide the connection's end."""
         if self.connection.peer_ended():
-            self.ended(None)
+            self.on_closed(None)
             return True
         return False
 
     def close(self) -> None:
-        self.ended(None)
+        self.on_closed(None)
 
 
 class Clients:
+    """All connections from the application, and the limits that they share."""
+
     def __init__(
         self,
-        owner: Owner,
+        dispatcher: Dispatcher,
         clock: Clock,
         timers: Timers,
-        door: Door,
+        admission: Door,
         profiles: dict[str, int],
         buffers: BufferPool,
         descriptors: Descriptors,
-        room: Room,
+        body_memory: Room,
         log_event,
     ) -> None:
-        self.owner, self.clock, self.timers, self.door = owner, clock, timers, door
-        self.profiles, self.room, self.log_event = profiles, room, log_event
+        self.dispatcher, self.clock, self.timers, self.admission = dispatcher, clock, timers, admission
+        self.profiles, self.body_memory, self.log_event = profiles, body_memory, log_event
         self.buffers, self.descriptors = buffers, descriptors
         descriptors.givers.append(lambda: self.close_idle(1))
-        self.last_answer = NO_END  # once this process ends: the moment of its last answer
-        self.ready, self.come_back_most = False, owner.agreed.come_back_max
-        self.sending_away = None  # while drained by the staff: the next look at who is here
-        self.sweeping = False
-        self.ids: set[str] = set()  # of transactions not yet answered
-        self.sparingly = RateLimitedLog(
-            log_event, clock, LOUD
-        )  # clients may ask again as soon as turned away
-        self.answers: Counter[str] = Counter()  # by kind, and clients that went before theirs
-        self.open: dict[Client, None] = {}  # longest idle first; emptied as they end
-        self.none_left: asyncio.Future | None = None
-
-    def take(self, sock) -> bool:
-        """A connection that the machine has accepted may carry something already: it is taken and answered.
-
-        At the limit idle connections go for it, those to hosts first. False: no room for another one.
+        self.response_deadline = NEVER  # ticks; set when this process ends: by then all must be answered
+        self.ready, self.max_retry_after = False, dispatcher.agreement.come_back_max
+        self.drain_timer = None  # of the next sweep, while drained by an operator
+        self.sweep_scheduled = False
+        self.open_ids: set[str] = set()  # Request-Ids of transactions without a response
+        # rate-limited as clients may retry as soon as they are rejected
+        self.rate_limited_log = RateLimitedLog(log_event, clock, MAX_LOG_LINES_PER_S)
+        self.response_counts: Counter[str] = Counter()  # by kind, and "client gone"
+        self.open_clients: dict[Client, None] = {}  # longest idle first
+        self.all_closed: asyncio.Future | None = None
+
+    def accept_socket(self, sock) -> bool:
+        """Take an accepted connection, which may carry a request already; returns whether one more has room.
+
+        At the limit idle connections are closed for it, those to hosts first.
         """
         try:
             connection = Connection(sock, self.buffers, self.descriptors)
-        except OSError:  # it ended before we could look at it
+        except OSError:  # it has ended already
             sock.close()
             return True
-        fits = self.make_room()
+        fits = self.evict_for_new()
         client = Client(self, connection)
-        self.open[client] = None
-        client.begin()
+        self.open_clients[client] = None
+        client.start()
         return self.descriptors.room(self.descriptors.most) and fits
 
-    def make_room(self) -> bool:
-        """Guards against peers that connect by hundreds and say nothing, or stop half-way: they go first, no
-        host's does. Who writes slowly but goes on is a good client, and goes last."""
-        crowd = len(self.open) + 1 - self.descriptors.most_for_clients
-        for state, rested in ((COMING, STUCK), (NEW, 0), (LEAVING, 0), (IDLE, STUCK), (COMING, 0), (IDLE, 0)):
-            if crowd > 0:
-                crowd -= self.close_idle(crowd, (state,), rested)
-        return crowd <= 0
+    def evict_for_new(self) -> bool:
+        """Close connections until one more fits.
 
-    def close_idle(self, most: int | None = None, states: tuple = (IDLE,), rested: float = 0.0) -> int:
-        """Close so many of those that carry nothing, the longest idle first; what has bytes to read stays.
-
-        `rested`: only those that have idled for so many seconds.
+        Those that are silent or have stopped within a request go first, so that hundreds of them neither lock
+        others out nor cost connections to hosts. A client that sends slowly but steadily goes last.
+        """
+        excess = len(self.open_clients) + 1 - self.descriptors.most_for_clients
+        for state, min_idle in (
+            (READING, SLOW_READ_S),
+            (NEW, 0),
+            (LINGERING, 0),
+            (IDLE, SLOW_READ_S),
+            (READING, 0),
+            (IDLE, 0),
+        ):
+            if excess > 0:
+                excess -= self.close_idle(excess, (state,), min_idle)
+        return excess <= 0
+
+    def close_idle(self, max_count: int | None = None, states: tuple = (IDLE,), min_idle: float = 0.0) -> int:
+        """Close connections in these states, longest idle first, unless they have bytes to read.
+
+        `max_count`: no more than so many; `min_idle`: only those idle for so many seconds. Returns the number
+        closed.
         """
-        idle, until = [], self.clock.now() - int(rested * TICKS)
-        for client in self.open:
-            if most is not None and len(idle) >= most:
+        idle, idle_since = [], self.clock.now() - int(min_idle * TICKS_PER_SECOND)
+        for client in self.open_clients:
+            if max_count is not None and len(idle) >= max_count:
                 break
             state = client.state
             if (
                 state in states
-                and client.since <= until
-                and (state in (COMING, LEAVING) or client.connection.quiet())
+                and client.last_active <= idle_since
+                and (state in (READING, LINGERING) or client.connection.quiet())
             ):
                 idle.append(client)
         for client in idle:
-            client.stalled()
+            client.on_timeout()
         return len(idle)
 
-    def rest(self, client: Client) -> None:
-        del self.open[client]
-        self.open[client] = None  # those that idle longest come first
-        client.since = self.clock.now()
-        if not self.sweeping:
-            self.sweeping = True
-            self.timers.set(int(RESTED * TICKS), self.sweep)
-
-    def sweep(self) -> None:
-        """Guards against clients that ask once and stay: they hold the places of those that want to ask."""
-        spare, rested = len(self.open) - self.descriptors.at_ease, []
-        until = self.clock.now() - int(RESTED * TICKS)
-        if spare > 0:
-            rested = [c for c in self.open if c.state == IDLE and c.since <= until and c.connection.quiet()]
-        for client in rested[: max(0, spare)]:
-            self.drop(client)
-        self.sweeping = bool(self.open)
-        if self.sweeping:
-            self.timers.set(int(RESTED * TICKS / 4), self.sweep)
-
-    def stay(self) -> bool:
-        """Whether a connection may stay open behind its answer."""
-        return self.ready and not self.drained and len(self.open) <= self.descriptors.at_ease
-
-    def drain(self, drained: bool) -> None:
-        """Send clients away, or take them again. Answers close their connections; who idles goes a little
-        later, before a request that it might still bring could be in hand for long."""
-        self.timers.cancel(self.sending_away)
-        self.sending_away = self.timers.set(int(LEAVE_IDLE * TICKS), self.send_away) if drained else None
+    def mark_idle(self, client: Client) -> None:
+        del self.open_clients[client]
+        self.open_clients[client] = None  # moves it to the end: the longest idle come first
+        client.last_active = self.clock.now()
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
+            self.timers.set(int(MAX_IDLE_S * TICKS_PER_SECOND), self.close_excess_idle)
+
+    def close_excess_idle(self) -> None:
+        """Close idle connections above the comfortable number.
+
+        Clients that send one request and stay connected would otherwise lock others out.
+        """
+        excess, idle = len(self.open_clients) - self.descriptors.at_ease, []
+        idle_since = self.clock.now() - int(MAX_IDLE_S * TICKS_PER_SECOND)
+        if excess > 0:
+            idle = [
+                c
+                for c in self.open_clients
+                if c.state == IDLE and c.last_active <= idle_since and c.connection.quiet()
+            ]
+        for client in idle[: max(0, excess)]:
+            self.close_client(client)
+        self.sweep_scheduled = bool(self.open_clients)
+        if self.sweep_scheduled:
+            self.timers.set(int(MAX_IDLE_S * TICKS_PER_SECOND / 4), self.close_excess_idle)
+
+    def allows_keep_alive(self) -> bool:
+        """Whether a connection may stay open after its response."""
+        return self.ready and not self.drained and len(self.open_clients) <= self.descriptors.at_ease
+
+    def set_drained(self, drained: bool) -> None:
+        """Send clients away, or accept them again.
+
+        While drained, each response closes its connection. Idle connections are closed a little later, but
+        soon enough that a request they may still bring is not in hand for long.
+        """
+        self.timers.cancel(self.drain_timer)
+        self.drain_timer = (
+            self.timers.set(int(DRAIN_IDLE_DELAY_S * TICKS_PER_SECOND), self.close_drained)
+            if drained
+            else None
+        )
 
     @property
     def drained(self) -> bool:
-        return self.sending_away is not None
+        return self.drain_timer is not None
 
-    def send_away(self) -> None:
+    def close_drained(self) -> None:
         now = self.clock.now()
         self.close_idle()
-        for client in [c for c in self.open if c.state == NEW and now - c.since > int(LEAVE_NEW * TICKS)]:
+        for client in [
+            c
+            for c in self.open_clients
+            if c.state == NEW and now - c.last_active > int(DRAIN_NEW_DELAY_S * TICKS_PER_SECOND)
+        ]:
             if client.connection.quiet():
-                self.drop(client)
-        self.sending_away = self.timers.set(int(LOOK_AWAY * TICKS), self.send_away)
+                self.close_client(client)
+        self.drain_timer = self.timers.set(int(DRAIN_SWEEP_INTERVAL_S * TICKS_PER_SECOND), self.close_drained)
 
-    def drop(self, client: Client) -> None:
+    def close_client(self, client: Client) -> None:
         self.timers.cancel(client.timer)
         client.timer = None
-        client.free_room()
+        client.release_memory()
         client.connection.close()
-        if self.open.pop(client, self) is None and not self.open and self.none_left is not None:
-            self.none_left.cancelled() or self.none_left.done() or self.none_left.set_result(None)
-
-    async def finish(self, seconds: float) -> None:
-        """Wait until every transaction taken has been answered, and its connection has ended."""
-        if self.open:
-            self.none_left = asyncio.get_running_loop().create_future()
-            await asyncio.wait({self.none_left}, timeout=seconds)
-
-    def health(self, keep: bool) -> bytes:
+        if (
+            self.open_clients.pop(client, self) is None
+            and not self.open_clients
+            and self.all_closed is not None
+        ):
+            self.all_closed.cancelled() or self.all_closed.done() or self.all_closed.set_result(None)
+
+    async def wait_until_closed(self, seconds: float) -> None:
+        """Wait until every transaction has been answered and its connection closed, at most for so long."""
+        if self.open_clients:
+            self.all_closed = asyncio.get_running_loop().create_future()
+            await asyncio.wait({self.all_closed}, timeout=seconds)
+
+    def health_response(self, keep_alive: bool) -> bytes:
         status, text = (
             (503, "not ready") if not self.ready else (503, "drained") if self.drained else (200, "ready")
         )
-        return application.told(status, text, keep)
-
-    def worded(self, answer: Answer, order: Order, keep: bool) -> tuple[bytes, ...]:
-        if answer.kind == "committed":
-            return application.committed(answer.message, keep)
-        if answer.kind == "declined":
-            return (application.told(answer.message.status, "declined by the host", keep),)
-        if answer.kind == "rolled back":
-            return (application.rolled_back(answer.come_back / TICKS, keep),)
-        return (application.abandoned(self.clock.now() >= order.hard_limit, keep),)
+        return application.told(status, text, keep_alive)
+
+    def encode_response(
+        self, response: Response, transaction: Transaction, keep_alive: bool
+    ) -> tuple[bytes, ...]:
+        if response.kind == "committed":
+            return application.committed(response.message, keep_alive)
+        if response.kind == "declined":
+            return (application.told(response.message.status, "declined by the host", keep_alive),)
+        if response.kind == "rolled back":
+            return (application.rolled_back(response.retry_after / TICKS_PER_SECOND, keep_alive),)
+        return (application.abandoned(self.clock.now() >= transaction.deadline, keep_alive),)
--- a/basalthook/routing/clock.py
+++ b/basalthook/routing/clock.py
@@ -1,15 +1,15 @@
-"""The one clock: whole tenths of a millisecond of Unix time, set once and never turned back."""
+"""The program's clock: Unix time in ticks of 0.1 ms, set once from the wall clock and monotonic since."""
 
 import time
 
-TICKS = 10_000  # a second
-TICK = 100_000  # nanoseconds
-monotonic_ns, wall_ns = time.monotonic_ns, time.time_ns  # the lab puts others here
+TICKS_PER_SECOND = 10_000
+TICK_NS = 100_000
+monotonic_ns, wall_ns = time.monotonic_ns, time.time_ns  # replaced by the lab's clocks in simulations
 
 
 class Clock:
     def __init__(self) -> None:
-        self.ahead = wall_ns() - monotonic_ns()
+        self.wall_offset_ns = wall_ns() - monotonic_ns()
 
     def now(self) -> int:
-        return (monotonic_ns() + self.ahead) // TICK
+        return (monotonic_ns() + self.wall_offset_ns) // TICK_NS
--- /dev/null
+++ b/basalthook/routing/dispatcher.py
@@ -0,0 +1,312 @@
+"""The dispatcher: the only holder of the routing policy, reached through one ordered queue."""
+
+from collections import deque
+from typing import NamedTuple
+
+from .. import terms
+from ..policy import interface as i
+from ..policy.decide import Proxy
+from ..protocol.application import Asked
+from ..protocol.catalogue import Listing
+from ..protocol.http1 import Message
+from ..transport.timers import Timers
+from .clock import TICK_NS, Clock
+from .host_registry import HostRegistry
+
+MAX_LOGGED_IDS = 16  # hosts that a log line names for each kind of change
+MAX_TIMER_DELAY_TICKS = 50  # a timer that is later than this runs between two queued items
+
+
+class Response(NamedTuple):
+    """The final response to a transaction. `message` is the host's, if a host responded."""
+
+    kind: str  # "committed", "declined", "rolled back", "abandoned"
+    message: Message | None = None
+    retry_after: int = 0  # ticks; 0: no advice
+    relay: object = None  # streams the rest of a long response from the host
+    reason: str = ""  # why it does not come from a host
+
+
+class Transaction:
+    """An accepted transaction; the dispatcher holds it until it is closed and no attempt is open."""
+
+    __slots__ = (
+        "request",
+        "received_at",
+        "deadline",
+        "deliver",
+        "client_gone",
+        "number",
+        "attempts",
+        "closed",
+    )
+
+    def __init__(self, request: Asked, received_at: int, deadline: int, deliver, client_gone) -> None:
+        """`received_at`: when the last byte of the request arrived; `deadline`: by when it must be answered.
+
+        `deliver(response)` is called once, unless the client has gone. `client_gone()` checks whether the
+        client has gone, and if so ends the transaction with `ClientDisconnected`.
+        """
+        self.request, self.received_at, self.deadline, self.deliver = request, received_at, deadline, deliver
+        self.client_gone = client_gone
+        self.number, self.closed = -1, False
+        self.attempts = []  # in order of their start; None once an attempt has finished
+
+    def close(self, response: Response | None) -> None:
+        if not self.closed:
+            self.closed = True
+            if response is not None:
+                self.deliver(response)
+
+
+class RequestReceived(NamedTuple):
+    transaction: Transaction
+
+
+class ClientDisconnected(NamedTuple):
+    transaction: Transaction
+
+
+class DeadlineMissed(NamedTuple):
+    """The deadline passed without a response, which means a defect in this program."""
+
+    transaction: Transaction
+
+
+class AttemptResult(NamedTuple):
+    transaction: Transaction
+    attempt: int  # index in Transaction.attempts
+    host: int
+    outcome: str
+    elapsed: int  # ticks, without `unread`
+    unread: int  # ticks that the host's response waited here before it was read
+    message: Message | None
+    relay: object = None
+
+
+class DiscoveryUpdate(NamedTuple):
+    listing: Listing
+    answered: bool  # false: known before, not an answer of discovery
+
+
+class OverridesChanged(NamedTuple):
+    """Operator overrides of these hosts have changed."""
+
+    hosts: set[str]
+
+
+class ProcessCountChanged(NamedTuple):
+    """The number of processes that serve as this proxy at present: two during a handover."""
+
+    processes: int
+
+
+class Dispatcher:
+    """Passes queued items to the policy as events, and applies the effects that the policy returns.
+
+    `post` returns when everything that an item causes has been decided and applied. What an effect causes at
+    once (an attempt that could not begin) is queued, so that the policy is never re-entered. The queue is
+    empty again when `post` returns.
+    """
+
+    def __init__(
+        self,
+        agreement: i.Agreement,
+        seed: int,
+        clock: Clock,
+        timers: Timers,
+        registry: HostRegistry,
+        read_lag_ns,
+        log_event,
+    ) -> None:
+        """`read_lag_ns()`: age in nanoseconds of the last moment up to which all input has been read."""
+        self.agreement, self.clock, self.timers, self.registry, self.log_event = (
+            agreement,
+            clock,
+            timers,
+            registry,
+            log_event,
+        )
+        self.read_lag_ns = read_lag_ns
+        # the event handler is the policy itself, or a component that wraps it
+        self.policy = self.event_handler = Proxy(agreement, seed, clock.now())
+        self.queue: deque = deque()
+        self.processing, self.next_number = False, 0
+        self.transactions: dict[int, Transaction] = {}
+        self.begin_attempt = None  # AttemptRunner.begin, set when the program is assembled
+
+    def start(self, known: Listing) -> None:
+        """Pass on the list that is known at start-up."""
+        self.handle_event(self.registry.apply_listing(known, answered=False))
+
+    def post(self, item) -> None:
+        self.queue.append(item)
+        if not self.processing:
+            self.process_queue()
+
+    def process_queue(self) -> None:
+        self.processing = True
+        try:
+            while self.queue:
+                self.timers.run(MAX_TIMER_DELAY_TICKS)  # a long queue must not delay timers
+                self.run_guarded(self.handle_item, self.queue.popleft())
+        finally:
+            self.processing = False
+
+    def on_timer(self, mark: int) -> None:
+        """A timer of the policy expired; handled before the items in the queue."""
+        self.queue.appendleft(i.TimerDue(mark))
+        if not self.processing:
+            self.process_queue()
+
+    def run_guarded(self, work, item) -> None:
+        """An exception in one item must not stop the service for all other transactions."""
+        try:
+            work(item)
+        except Exception as fault:
+            self.log_event("fault", where=type(item).__name__, error=repr(fault))
+
+    def handle_event(self, event) -> None:
+        now = self.clock.now()
+        self.apply_effects(self.event_handler.handle(now, event, self.observed_until(now)))
+
+    def observed_until(self, now: int) -> int:
+        """All input that arrived until then has been handled; silence since may be our own delay."""
+        return now - self.read_lag_ns() // TICK_NS
+
+    # ---- queued items
+
+    def handle_item(self, item) -> None:
+        self.ITEM_HANDLERS[type(item)](self, item)
+
+    def on_request_received(self, item: RequestReceived) -> None:
+        transaction, number = item.transaction, self.next_number
+        self.next_number += 1
+        transaction.number, self.transactions[number] = number, transaction
+        key, time_left = transaction.request.key, max(0, transaction.deadline - self.clock.now())
+        waited = max(0, self.clock.now() - transaction.received_at)
+        self.handle_event(
+            i.TxArrived(
+                number, transaction.request.profile, terms.number(key) if key else None, time_left, waited
+            )
+        )
+
+    def on_client_disconnected(self, item: ClientDisconnected) -> None:
+        self.end_transaction(item.transaction, None)
+
+    def on_deadline_missed(self, item: DeadlineMissed) -> None:
+        if not item.transaction.closed:
+            self.log_event("fault", where="owner", error="no answer in time")
+            self.end_transaction(item.transaction, Response("abandoned", reason="no answer in time"))
+
+    def end_transaction(self, transaction: Transaction, response: Response | None) -> None:
+        if not transaction.closed:
+            transaction.close(response)
+            self.handle_event(i.TxGone(transaction.number))
+            self.forget_if_finished(transaction)
+
+    def on_attempt_result(self, item: AttemptResult) -> None:
+        transaction = item.transaction
+        transaction.attempts[item.attempt] = None
+        self.registry.attempt_finished(item.host)
+        if item.message is not None and not transaction.closed:
+            transaction.close(Response(item.outcome, item.message, 0, item.relay))
+        self.handle_event(
+            i.HopEnded(
+                transaction.number,
+                item.attempt,
+                item.host,
+                item.outcome,
+                item.elapsed,
+                transaction.closed,
+                item.unread,
+            )
+        )
+        self.forget_if_finished(transaction)
+
+    def on_discovery_update(self, item: DiscoveryUpdate) -> None:
+        self.handle_event(self.registry.apply_listing(item.listing, item.answered))
+        self.registry.drop_unheld(self.policy.servers)
+        if changes := self.registry.changes:
+            self.log_event(
+                "endpoints",
+                version=item.listing.version,
+                **{change: ids[:MAX_LOGGED_IDS] for change, ids in changes.items()},
+                count=sum(map(len, changes.values())),
+            )
+
+    def on_overrides_changed(self, item: OverridesChanged) -> None:
+        self.handle_event(self.registry.reapply_overrides(item.hosts))
+
+    ITEM_HANDLERS = {
+        RequestReceived: on_request_received,
+        ClientDisconnected: on_client_disconnected,
+        DeadlineMissed: on_deadline_missed,
+        AttemptResult: on_attempt_result,
+        DiscoveryUpdate: on_discovery_update,
+        OverridesChanged: on_overrides_changed,
+        ProcessCountChanged: lambda self, item: self.handle_event(i.Shared(item.processes)),
+        i.TimerDue: handle_event,
+        i.Judged: handle_event,
+        i.Allowed: handle_event,
+    }
+
+    def forget_if_finished(self, transaction: Transaction) -> None:
+        if transaction.closed and not any(transaction.attempts):
+            self.transactions.pop(transaction.number, None)
+
+    # ---- effects
+
+    def apply_effects(self, effects: list) -> None:
+        for effect in effects:
+            self.EFFECT_HANDLERS[type(effect)](self, effect)
+
+    def send_attempt(self, effect: i.SendHop) -> None:
+        transaction = self.transactions[effect.tx]
+        time_limit = min(effect.time_limit, transaction.deadline - self.clock.now())
+        too_late = (
+            transaction.closed or time_limit <= 0 or len(transaction.attempts) >= self.agreement.max_hops
+        )
+        entry = self.registry.attempt_started(effect.host)
+        transaction.attempts.append(
+            self.begin_attempt(
+                transaction, len(transaction.attempts), effect.host, entry, time_limit, too_late
+            )
+        )
+
+    def refusal(self, transaction: Transaction, host: int) -> str | None:
+        """Why an attempt decided earlier may not send its first byte now; None if it may."""
+        if transaction.closed:
+            return i.REQUEST_OVER
+        if not self.registry.is_ready(host):
+            return i.ENDPOINT_LEAVING
+        if transaction.client_gone():
+            return i.CLIENT_GONE
+        return self.policy.refusal(self.clock.now(), transaction.number, host)
+
+    def roll_back(self, effect: i.RollBack) -> None:
+        self.respond(effect.tx, Response("rolled back", None, effect.come_back, reason=effect.reason))
+
+    def abandon(self, effect: i.Abandon) -> None:
+        self.respond(effect.tx, Response("abandoned", reason=effect.reason))
+
+    def respond(self, tx: int, response: Response) -> None:
+        if tx in self.transactions:
+            self.transactions[tx].close(response)
+            self.forget_if_finished(self.transactions[tx])
+
+    def cancel_attempt(self, effect: i.CancelHop) -> None:
+        transaction = self.transactions.get(effect.tx)
+        if transaction is not None and transaction.attempts[effect.hop] is not None:
+            transaction.attempts[effect.hop].stop(i.CANCELLED)
+
+    def set_timer(self, effect: i.SetTimer) -> None:
+        self.timers.set(effect.delay, self.on_timer, effect.mark)
+
+    EFFECT_HANDLERS = {
+        i.SendHop: send_attempt,
+        i.RollBack: roll_back,
+        i.Abandon: abandon,
+        i.CancelHop: cancel_attempt,
+        i.SetTimer: set_timer,
+    }
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -1,4 +1,4 @@
-"""Discovery's watch: one call after the other on one connection, and others beside it while it is silent."""
+"""The watch on discovery: successive calls on one connection, with parallel ones while it is silent."""
 
 import asyncio
 from contextlib import contextmanager
@@ -10,58 +10,69 @@
 from ..transport.connection import Connection, Fault, Stage
 from ..transport.descriptors import Descriptors
 from ..transport.timers import Timers
-from .owner import Listed, Owner
+from .dispatcher import DiscoveryUpdate, Dispatcher
 
-PAUSE = 0.1  # seconds after an answer with nothing newer in it: guards against a discovery that
-# answers at once; a watch goes on as long as the next call comes within 0.2 s
-GAP = 0.005  # after one with news: guards against versions without end
+# Pause after an answer without a newer version, so that a discovery which answers at once isn't called in a
+# tight loop. Discovery keeps a watch open if the next call comes within 0.2 s.
+UNCHANGED_PAUSE_S = 0.1
+CHANGED_PAUSE_S = 0.005  # after a newer version, which may be followed by newer ones without end
 
 
 class Watch:
-    """Follows the list until it is ended; every answer goes to the owner, in order."""
+    """Follows the host list until it is stopped; passes every answer to the dispatcher, in order."""
 
     def __init__(
         self,
         address: tuple[str, int],
         version: int,
         following: Following,
-        owner: Owner,
+        dispatcher: Dispatcher,
         buffers: BufferPool,
         descriptors: Descriptors,
         timers: Timers,
         log_event,
     ) -> None:
         self.address, self.version, self.following = address, version, following
-        self.owner, self.buffers, self.descriptors, self.log_event = owner, buffers, descriptors, log_event
+        self.dispatcher, self.buffers, self.descriptors, self.log_event = (
+            dispatcher,
+            buffers,
+            descriptors,
+            log_event,
+        )
         self.timers = timers
-        self.calls: list[asyncio.Task] = []  # the newest last; at most BESIDE_MOST, emptied as they fail
-        self.retry_timer = None  # the timer of the next try, while there is no call
-        self.whole = False  # whether the whole list comes first: versions may be counted differently
-        self.reasons: list[str] = []  # of the calls that have failed since the last answer
-        self.calls_begun = 0  # calls since the start: numbers them in the log
-        self.answered_at = timers.now()  # of the last sound answer, or of the start
-        self.on_contact = lambda: None  # told once, at the first answer or failure
-
-    def age(self) -> float:
-        """Seconds since discovery last answered, or since the start."""
+        self.calls: list[asyncio.Task] = []  # newest last, at most BESIDE_MOST; removed as they fail
+        self.retry_timer = None  # of the next call, while no call is open
+        # whether the complete list must come first, as versions may be numbered differently now
+        self.needs_full_list = False
+        self.failure_reasons: list[str] = []  # of the calls that have failed since the last answer
+        self.calls_started = 0  # since the process started; numbers the calls in the log
+        self.answered_at = timers.now()  # ticks; of the last valid answer, or of the start
+        self.on_contact = lambda: None  # called once, at the first answer or failure
+
+    def seconds_since_answer(self) -> float:
+        """Seconds since discovery last answered, or since this watch was created."""
         return (self.timers.now() - self.answered_at) / self.timers.second
 
-    def begin(self, at_once: bool = False) -> None:
+    def start(self, at_once: bool = False) -> None:
+        """`at_once`: make the first call without delay, for the changes that discovery has already."""
         if not self.calls and self.retry_timer is None:
             self.following.began()
             delay = 0 if at_once else self.following.first_delay()
             self.retry_timer = self.timers.set(delay, self.start_call, at_once or self.following.pushed)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.timers.cancel(self.retry_timer)
         self.retry_timer = None
         for call in self.calls:
             call.cancel()
         self.calls = []
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Discovery is, or still is, at this address: the list stays as it is until there is a whole one from
-        another one; a call that only waits for its time is made at once."""
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Follow discovery at this address, which may be the present one.
+
+        The present list stays in use until a complete one comes from the new address. A call that waits for
+        its retry timer is made at once.
+        """
         if address == self.address and self.retry_timer is None:
             return
         if address != self.address:
@@ -72,111 +83,118 @@
                 cancelled=len(self.calls),
                 waiting=self.retry_timer is not None,
             )
-            self.address, self.whole = address, True
-        self.end()
+            self.address, self.needs_full_list = address, True
+        self.stop()
         self.following.moved()
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
-        """One more connection. `at_once`: it first asks only what has changed."""
+        """Open one more connection. `at_once`: its first call asks for present changes, without a wait."""
         self.retry_timer = None
         call = asyncio.get_running_loop().create_task(self.run(at_once))
         self.calls.append(call)
 
     def add_call(self, call: asyncio.Task) -> None:
-        """That call has had no answer: guards against waiting for a silent one until its news counts."""
+        """Open a call beside one that is silent.
+
+        A change that discovery has published counts from a fixed time on, even if the answer with it was
+        lost.
+        """
         if self.calls and self.calls[-1] is call and len(self.calls) < BESIDE_MOST:
             self.log_event("list late", calls=len(self.calls))
             self.following.fell_silent()
             self.start_call(True)
 
     async def run(self, at_once: bool) -> None:
-        me, reason = asyncio.current_task(), ""
-        while not reason:  # a connection that ends between two calls is no failure
-            reason = await self.run_connection(me, at_once)
+        task, reason = asyncio.current_task(), ""
+        while not reason:  # a connection that discovery closes between two calls is no failure
+            reason = await self.run_connection(task, at_once)
             at_once = False
-        self.calls.remove(me)
-        self.reasons.append(reason)
-        turned_away = all(r.startswith("status") for r in self.reasons)
-        if self.calls:  # one of the others may still be answered
-            delay = self.following.beside_delay(len(self.calls), len(self.reasons), turned_away)
+        self.calls.remove(task)
+        self.failure_reasons.append(reason)
+        turned_away = all(r.startswith("status") for r in self.failure_reasons)
+        if self.calls:  # one of the other calls may still be answered
+            delay = self.following.beside_delay(len(self.calls), len(self.failure_reasons), turned_away)
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log_event("list call failed", reason=reason, others=len(self.calls))
         wait = self.following.retry_delay(turned_away)
         self.log_event(
             "list lost",
-            reason="; ".join(dict.fromkeys(self.reasons)),
+            reason="; ".join(dict.fromkeys(self.failure_reasons)),
             again_ms=wait * 1000 // self.timers.second,
             failures=self.following.failures,
             urgent=self.following.urgent,
             to=list(self.address),
         )
-        self.reasons = []
+        self.failure_reasons = []
         self.retry_timer = self.timers.set(wait, self.start_call, self.following.pushed)
-        self.contacted()
+        self.notify_contact()
 
-    def contacted(self) -> None:
+    def notify_contact(self) -> None:
         on_contact, self.on_contact = self.on_contact, lambda: None
         on_contact()
 
-    async def run_connection(self, me: asyncio.Task, at_once: bool) -> str:
-        """One connection, for as long as it lasts, and what went wrong."""
+    async def run_connection(self, task: asyncio.Task, at_once: bool) -> str:
+        """Use one connection for as long as it lasts; returns as `follow` does."""
         connection = Connection.towards(self.address, self.buffers, self.descriptors)
         if isinstance(connection, Fault):
             return connection.reason
         try:
-            return await self.follow(connection, me, at_once)
-        except Exception as fault:  # exceptions stop at the connection
+            return await self.follow(connection, task, at_once)
+        except Exception as fault:  # costs this connection only, not the watch
             return repr(fault)
         finally:
             connection.close()
 
-    async def follow(self, connection: Connection, me: asyncio.Task, at_once: bool) -> str:
-        """What went wrong; nothing, if discovery has closed the connection after an answer."""
-        up = asyncio.get_running_loop().create_future()
-        late = self.following.silent_after(len(self.calls), at_once)
-        connection.connect(self.address, up.set_result)
-        with self.bounded(connection, 0, late, me):
-            fault = await up
+    async def follow(self, connection: Connection, task: asyncio.Task, at_once: bool) -> str:
+        """Call discovery until something fails.
+
+        Returns the reason, or "" if discovery has closed the connection after an answer.
+        """
+        connected = asyncio.get_running_loop().create_future()
+        silent_after = self.following.silent_after(len(self.calls), at_once)
+        connection.connect(self.address, connected.set_result)
+        with self.time_limits(connection, 0, silent_after, task):
+            fault = await connected
         if fault is not None:
             return fault.reason
         while True:
-            whole = self.whole
-            wait = 0 if at_once or whole else self.following.watch_wait()
-            with self.bounded(connection, wait, late, me):
+            full_list = self.needs_full_list
+            wait = 0 if at_once or full_list else self.following.watch_wait()
+            with self.time_limits(connection, wait, silent_after, task):
                 found = await self.call(connection, wait)
             if isinstance(found, Fault):
                 return found.reason
             listing = catalogue.read(found.body) if found.status == 200 else None
             if listing is None:
                 return (
-                    f"status {found.status}, no sound list"
+                    f"status {found.status}, no valid list"
                     if found.status == 200
                     else (f"status {found.status}")
                 )
-            if whole and not listing.complete:
-                return "changes in place of the whole list"
-            await self.take_answer(listing, me, at_once)
-            at_once, late = False, self.following.silent_after(1)
+            if full_list and not listing.complete:
+                return "changes instead of the complete list"
+            await self.take_answer(listing, task, at_once)
+            at_once, silent_after = False, self.following.silent_after(1)
             if not found.keep:
                 return ""
 
-    async def take_answer(self, listing: catalogue.Listing, me: asyncio.Task, at_once: bool) -> None:
-        """The first answer of any call counts, and its connection is the watch from here on."""
-        others = [call for call in self.calls if call is not me]
+    async def take_answer(self, listing: catalogue.Listing, task: asyncio.Task, at_once: bool) -> None:
+        """Take the first answer of any call; its connection continues the watch, the others are cancelled."""
+        others = [call for call in self.calls if call is not task]
         for call in others:
             call.cancel()
         if others:
             self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
-        self.calls, self.reasons, self.answered_at = [me], [], self.timers.now()
+        self.calls, self.failure_reasons, self.answered_at = [task], [], self.timers.now()
         self.following.answered()
-        if listing.version < self.version and not self.whole:
-            # guards against a discovery that counts anew: it would be asked for what it never reaches, and
-            # what it has changed would be taken for changes of another list
-            self.whole = True
+        if listing.version < self.version and not self.needs_full_list:
+            # Discovery has restarted its version numbers. It may never reach ours, and its changes would be
+            # applied to a different list.
+            self.needs_full_list = True
             self.log_event("list behind", version=listing.version, ours=self.version)
             return
-        newer, self.version, self.whole = listing.version != self.version, listing.version, False
+        newer, self.version, self.needs_full_list = listing.version != self.version, listing.version, False
         if newer or listing.lines or listing.complete:
             doubled = {"doubled": listing.doubled} if listing.doubled else {}
             self.log_event(
@@ -186,62 +204,66 @@
                 lines=len(listing.lines),
                 **doubled,
             )
-            self.owner.post(Listed(listing, answered=True))
+            self.dispatcher.post(DiscoveryUpdate(listing, answered=True))
         else:
             self.log_event("list unchanged", version=listing.version)
-        self.contacted()
+        self.notify_contact()
         if not at_once:
-            await asyncio.sleep(GAP if newer else PAUSE)
+            await asyncio.sleep(CHANGED_PAUSE_S if newer else UNCHANGED_PAUSE_S)
 
     async def call(self, connection: Connection, wait: int) -> Message | Fault:
-        answer = Parser(responses=True, body_most=catalogue.BODY_MOST)
-        version = None if self.whole else self.version
-        call = catalogue.call(
+        """One call on this connection; the wait is in ticks."""
+        parser = Parser(responses=True, body_most=catalogue.BODY_MOST)
+        version = None if self.needs_full_list else self.version
+        request = catalogue.call(
             f"{self.address[0]}:{self.address[1]}", version, wait * 1000 // self.timers.second
         )
-        over = asyncio.get_running_loop().create_future()
-        self.calls_begun += 1
+        done = asyncio.get_running_loop().create_future()
+        self.calls_started += 1
         self.log_event(
             "list call",
-            number=self.calls_begun,
+            number=self.calls_started,
             to=list(self.address),
             version=version,
             wait_ms=wait * 1000 // self.timers.second,
             reused=bool(connection.took),
         )
         if connection.closed:
-            return Fault(Stage.WRITING, "ended between two calls")
-
-        def took(part, _) -> None:
-            answer.feed(part)
-            if answer.found is not None and not over.done():
-                over.set_result(None)
-
-        def ended(fault: Fault) -> None:
-            answer.end()
-            if not over.done():
-                over.set_result(None if answer.found is not None else fault)
-
-        connection.follow(took, ended)
-        if not over.done():
-            connection.write((call,))
-        fault = await over
+            return Fault(Stage.WRITING, "connection closed between two calls")
+
+        def on_data(data, _) -> None:
+            parser.feed(data)
+            if parser.found is not None and not done.done():
+                done.set_result(None)
+
+        def on_closed(fault: Fault) -> None:
+            parser.end()
+            if not done.done():
+                done.set_result(None if parser.found is not None else fault)
+
+        connection.follow(on_data, on_closed)
+        if not done.done():
+            connection.write((request,))
+        fault = await done
         if fault is not None:
             return fault
-        if not isinstance(answer.found, Message) or not answer.found.delimited:
-            return Fault(Stage.ANSWERING, "no HTTP answer")
-        return answer.found
+        if not isinstance(parser.found, Message) or not parser.found.delimited:
+            return Fault(Stage.ANSWERING, "no valid HTTP response")
+        return parser.found
 
     @contextmanager
-    def bounded(self, connection: Connection, wait: int, late: int, me: asyncio.Task):
-        """What is waited for inside gets a call beside it if it is late, and ends with the connection."""
-        why = f"not within {(wait + GIVE_UP) / self.timers.second:g} s"
-        due = (
-            self.timers.set(wait + late, self.add_call, me),
-            self.timers.set(wait + GIVE_UP, connection.fail, why),
+    def time_limits(self, connection: Connection, wait: int, silent_after: int, task: asyncio.Task):
+        """Time limits for what is awaited inside.
+
+        A parallel call opens `silent_after` ticks past `wait`, and the connection fails `GIVE_UP` past it.
+        """
+        reason = f"no answer within {(wait + GIVE_UP) / self.timers.second:g} s"
+        limits = (
+            self.timers.set(wait + silent_after, self.add_call, task),
+            self.timers.set(wait + GIVE_UP, connection.fail, reason),
         )
         try:
             yield
         finally:
-            for timer in due:
+            for timer in limits:
                 self.timers.cancel(timer)
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -122,7 +122,7 @@
         ready(listening[0].getsockname()[:2])
     elif layer == "program":
         service = Service(told, Log("floor"), None, turns)
-        service.owner.proxy = NextHost()
+        service.owner.policy = NextHost()
         return await service.run()
     else:
         buffers, descriptors, hosts_at = BufferPool(16 * 1024, 128), Descriptors(4096), cycle(addresses)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -48,9 +48,9 @@
     async def stop(self):
         self.listener.close()
         self.service.clients.ready = False
-        self.service.watch.end()
+        self.service.watch.stop()
         self.service.pool.close()
-        for connection in list(self.service.clients.open):
+        for connection in list(self.service.clients.open_clients):
             connection.close()
         await asyncio.wait_for(self.until(lambda: not self.service.clients.descriptors.held), 5)
         self.service.timers.close()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -92,8 +92,8 @@
             for host in self.hosts:
                 host.ways = [OK]
             self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
-            await asyncio.wait_for(self.until(lambda: len(self.service.clients.open) == 1), 10)
-        self.assertEqual(len(self.service.owner.orders), 0)
+            await asyncio.wait_for(self.until(lambda: len(self.service.clients.open_clients) == 1), 10)
+        self.assertEqual(len(self.service.owner.transactions), 0)
 
     async def test_a_client_that_goes_ends_its_hosts_connection(self):
         caller = await self.play(SocketHost(SIZED[:-1000]))
@@ -112,39 +112,41 @@
         got = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
         self.assertEqual(len(got), 7)  # one was refused
         self.assertEqual({hashlib.sha256(body).digest() for body in got}, {hashlib.sha256(LONG).digest()})
-        self.assertEqual(self.service.clients.room.held, 0)
+        self.assertEqual(self.service.clients.body_memory.held, 0)
 
     async def test_bodies_wait_for_room_in_turn_and_who_gets_none_is_rolled_back(self):
         first, second = await self.play(SocketHost()), await self.caller()
-        self.service.clients.room.most = 4_000_000
+        self.service.clients.body_memory.most = 4_000_000
 
         def begin(caller, n, count):
             caller.writer.write(HEAD % b"w%d" % n + SENT[:count])
 
         begin(first, 1, 100_000)
-        await self.until(lambda: self.service.clients.room.held)
+        await self.until(lambda: self.service.clients.body_memory.held)
         begin(second, 2, len(SENT))
-        await self.until(lambda: self.service.clients.room.waiting)
+        await self.until(lambda: self.service.clients.body_memory.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
             self.assertEqual((await caller.answer())[0], 200)
         begin(first, 3, 100_000)
-        await self.until(lambda: self.service.clients.room.held)
-        with unittest.mock.patch("basalthook.routing.clients.NO_ROOM", 0.02):
+        await self.until(lambda: self.service.clients.body_memory.held)
+        with unittest.mock.patch("basalthook.routing.clients.MEMORY_TIMEOUT_S", 0.02):
             begin(second, 4, 100_000)
             self.assertEqual((await second.answer())[0], 503)
         await first.stop()
-        await self.until(lambda: not self.service.clients.room.held)
+        await self.until(lambda: not self.service.clients.body_memory.held)
 
     async def test_memory_of_a_body_that_the_door_turns_away_is_free_again(self):
         caller = await self.play(SocketHost())
-        with unittest.mock.patch.object(self.service.clients.door, "admit", return_value=False):
+        with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
             self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.service.clients.room.held, len(self.service.clients.open)), (0, 1))
+        self.assertEqual(
+            (self.service.clients.body_memory.held, len(self.service.clients.open_clients)), (0, 1)
+        )
 
     async def test_a_body_that_comes_slowly_is_a_good_client_and_one_that_stops_is_not(self):
-        with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.2):
+        with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.2):
             caller = await self.play(SocketHost())
             caller.writer.write(HEAD % b"s1" + b"Content-Length: 375000\r\n\r\n")
             for at in range(0, 375_000, 37_500):
@@ -153,7 +155,7 @@
             self.assertEqual((await caller.answer())[0], 200)
             caller.writer.write(HEAD % b"s2" + SENT[:200_000])
             self.assertEqual((await caller.answer())[0], 408)
-        self.assertEqual(self.service.clients.room.held, 0)
+        self.assertEqual(self.service.clients.body_memory.held, 0)
 
 
 class LongBodies(unittest.TestCase):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,7 +11,7 @@
 
 from basalthook.console.calls import Call
 from basalthook.policy import interface as i
-from basalthook.routing.orders import Orders
+from basalthook.routing.overrides import OperatorOverrides
 from tests.fake import OK, SILENT, Caller, SocketHost
 from tests.loopback import Loopback
 
@@ -100,7 +100,7 @@
         for _ in range(2):  # out twice, back once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.owner.proxy.servers.values() if s.line.started)
+        server = next(s for s in self.service.owner.policy.servers.values() if s.line.started)
         self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
         await self.until(lambda: self.service.watch.version == 2)
@@ -119,7 +119,7 @@
 
         def out_meanwhile(address, up):
             def come(fault):
-                self.service.staff.carry_out(Call("disable", "s-0"))
+                self.service.staff.handle(Call("disable", "s-0"))
                 up(fault)
 
             return fresh(address, come)
@@ -145,7 +145,10 @@
         await self.hosts[0].got.get()
         silent = await self.caller()
         with unittest.mock.patch.multiple(
-            "basalthook.routing.clients", LEAVE_IDLE=0.02, LEAVE_NEW=0.05, LOOK_AWAY=0.02
+            "basalthook.routing.clients",
+            DRAIN_IDLE_DELAY_S=0.02,
+            DRAIN_NEW_DELAY_S=0.05,
+            DRAIN_SWEEP_INTERVAL_S=0.02,
         ):
             for _ in range(2):  # drained twice is drained
                 self.assertEqual((await self.call("PUT", "/-/drain"))[0], 200)
@@ -177,14 +180,16 @@
     @given(WORDS, WORDS)
     def test_two_sets_join_to_the_same_in_either_order_and_more_than_once(self, mine, theirs):
         def told(words):
-            orders = Orders()
+            orders = OperatorOverrides()
             for host, now, out in words:
-                orders.tell_drain(now, out) if host is None else orders.tell(host, now, out)
+                orders.set_drained(now, out) if host is None else orders.set_disabled(host, now, out)
             return orders
 
         one, other = told(mine), told(theirs)
-        one.join(told(theirs))
-        other.join(told(mine))
-        self.assertEqual(one.plain(), other.plain())
-        self.assertEqual(one.join(told(mine)), set())
-        self.assertEqual(Orders.read(json.loads(json.dumps(one.plain()))).plain(), one.plain())
+        one.merge(told(theirs))
+        other.merge(told(mine))
+        self.assertEqual(one.to_dict(), other.to_dict())
+        self.assertEqual(one.merge(told(mine)), set())
+        self.assertEqual(
+            OperatorOverrides.from_dict(json.loads(json.dumps(one.to_dict()))).to_dict(), one.to_dict()
+        )
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -4,7 +4,7 @@
 import unittest
 
 from basalthook.policy import interface as i
-from basalthook.routing.owner import Answer
+from basalthook.routing.dispatcher import Response
 from tests.fake import RESET, SILENT, UPLOAD, FakeHost, SocketHost, Stage
 from tests.loopback import Loopback
 
@@ -51,7 +51,7 @@
     def refused(self):
         """Reasons for which attempts were not begun after all: of the log's lines, and as counted."""
         lines = [line["reason"] for line in self.log.lines if line["event"] == "hop"]
-        return [reason for reason in lines if reason in REASONS], dict(self.service.attempts.refusals)
+        return [reason for reason in lines if reason in REASONS], dict(self.service.attempts.refusal_counts)
 
     async def test_a_keyed_request_is_not_sent_again_after_its_window(self):
         caller = await self.retried()
@@ -99,12 +99,12 @@
         caller = await self.play(SocketHost(SILENT))
         caller.ask("view")
         await self.hosts[0].got.get()
-        owner, (client,) = self.service.owner, self.service.clients.open
-        (order,) = owner.orders.values()
-        owner.running = True  # as within an event: what comes waits in the queue
-        client.ended(None)
-        order.close(Answer("abandoned"))
-        owner.pump()
+        owner, (client,) = self.service.owner, self.service.clients.open_clients
+        (order,) = owner.transactions.values()
+        owner.processing = True  # as within an event: what comes waits in the queue
+        client.on_closed(None)
+        order.close(Response("abandoned"))
+        owner.process_queue()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -125,7 +125,7 @@
         self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
         self.discovery.news.put_nowait(b"")  # taken by the one that said nothing
         self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
-        await self.until(lambda: not self.service.owner.roster.ready(0))
+        await self.until(lambda: not self.service.owner.registry.is_ready(0))
         self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
         self.assertEqual(self.hosts[0].got.qsize(), 0)
         await self.until(lambda: len(self.service.watch.calls) == 1)
@@ -179,12 +179,12 @@
         await self.play(SocketHost(), SocketHost())
         await self.discovery.got.get()
         moved = await self.started(SocketDiscovery())
-        self.service.watch.move(catalogue.address(moved.address))
+        self.service.watch.set_address(catalogue.address(moved.address))
         self.assertEqual(await moved.got.get(), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"))  # full: false
         self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"), full=True)
-        await self.until(lambda: not self.service.owner.roster.ready(1))
+        await self.until(lambda: not self.service.owner.registry.is_ready(1))
 
     async def test_sighup_with_the_same_address_calls_at_once_where_a_call_waits_for_its_time(self):
         await self.play(SocketHost())
@@ -194,7 +194,7 @@
         await self.until(lambda: watch.retry_timer is not None)
         watch.timers.cancel(watch.retry_timer)
         watch.retry_timer = watch.timers.set(50_000, watch.start_call, False)
-        watch.move(address)
+        watch.set_address(address)
         self.assertIn("index=1", await asyncio.wait_for(self.discovery.got.get(), 1))
 
     async def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(self):
@@ -218,9 +218,9 @@
         caller = await self.play(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
         self.discovery.tell(2, *lines, full=True)
-        await self.until(lambda: len(self.service.owner.proxy.ready) == 1_100)
+        await self.until(lambda: len(self.service.owner.policy.ready) == 1_100)
         self.discovery.tell(3, *({**line, "state": "draining"} for line in lines[:1_099]))
-        await self.until(lambda: len(self.service.owner.proxy.ready) == 1)
+        await self.until(lambda: len(self.service.owner.policy.ready) == 1)
         self.assertEqual(await caller.outcome(), 200)
 
     async def test_a_pushed_process_is_ready_once_it_has_heard_and_serves_on_while_discovery_is_down(self):
@@ -229,7 +229,7 @@
         self.assertIn("wait=0", await self.discovery.got.get())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
         await self.until(lambda: self.service.clients.ready)
-        self.assertFalse(self.service.owner.roster.ready(0))
+        self.assertFalse(self.service.owner.registry.is_ready(0))
         await self.discovery.stop()
         await asyncio.sleep(0.6)  # asked on and on, within half of the grace
         lost = [line for line in self.log.lines if line["event"] == "list lost"]
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -199,9 +199,9 @@
                 await asyncio.wait_for(story(service, listener.address), 20)
             finally:
                 listener.close()
-                for client in list(service.clients.open):
+                for client in list(service.clients.open_clients):
                     client.close()
-                service.watch.end()
+                service.watch.stop()
                 service.pool.close()
                 service.timers.close()
                 for peer in (*started, discovery):
@@ -222,9 +222,9 @@
             host.writers[0].write(OK)
             time.sleep(0.3)
             self.assertEqual((await caller.answer())[0], 200)
-            (server,) = service.owner.proxy.servers.values()
+            (server,) = service.owner.policy.servers.values()
             self.assertLess(server.strain, 2.0)
-            self.assertLess(service.owner.proxy.latency[1].mean, 1_000)
+            self.assertLess(service.owner.policy.latency[1].mean, 1_000)
             await caller.stop()
 
         self.assertEqual([line for line in self.play(story, host) if line["event"] == "hop"], [])
@@ -241,7 +241,7 @@
             answers = [await caller.answer() for caller in callers]
             self.assertEqual({status for status, _, _ in answers}, {503})
             self.assertTrue(all("Retry-After" in head for _, _, head in answers))
-            self.assertEqual((host.got.qsize(), service.clients.ids), (1, set()))
+            self.assertEqual((host.got.qsize(), service.clients.open_ids), (1, set()))
             self.assertEqual(await callers[0].outcome(), 200)
             for caller in callers:
                 await caller.stop()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,8 +8,8 @@
 
 from basalthook.policy import interface as i
 from basalthook.program.startup import decode
-from basalthook.routing.attempts import Attempt, Attempts
-from basalthook.routing.roster import Roster
+from basalthook.routing.attempts import Attempt, AttemptRunner
+from basalthook.routing.host_registry import HostRegistry
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection, Stage
 from basalthook.transport.descriptors import Descriptors
@@ -41,7 +41,7 @@
         await dead.server.wait_closed()
         caller = await self.play(alive)
         self.discovery.tell(2, dead.line("s-dead"))
-        await self.until(lambda: len(self.service.owner.roster.places) == 2)
+        await self.until(lambda: len(self.service.owner.registry.entries) == 2)
         for n in range(12):
             self.assertEqual(await caller.outcome(profile="submit", key=f"k{n}"), 200)
         self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])  # then it is banned
@@ -83,7 +83,7 @@
         for n in range(20):
             self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
-        self.assertEqual({s.away.get("ban", 0) for s in self.service.owner.proxy.servers.values()}, {0})
+        self.assertEqual({s.away.get("ban", 0) for s in self.service.owner.policy.servers.values()}, {0})
 
     async def test_turned_away_is_harmless_and_so_rolled_back(self):
         caller = await self.play(SocketHost(REFUSED), SocketHost(REFUSED))
@@ -120,7 +120,7 @@
         self.settled(0)
         self.assertEqual(await caller.outcome(), 200)
         self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
-        await self.until(lambda: self.service.owner.roster.ready(1))
+        await self.until(lambda: self.service.owner.registry.is_ready(1))
         self.assertEqual(self.service.pool.kept, {})
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
@@ -146,7 +146,7 @@
 
         def gone_meanwhile(address, up):
             def come(fault):
-                (order,) = self.service.owner.orders.values()
+                (order,) = self.service.owner.transactions.values()
                 order.closed = True
                 up(fault)
 
@@ -171,8 +171,8 @@
             (Stage.ANSWERING, i.CANCELLED, i.CANCELLED),
         ):
             hop = Attempt(None, None, 0, 0, None, 0, 1)
-            hop.stage, hop.stopped = stage, stopped
-            self.assertEqual(Attempts.outcome(hop, None), outcome, (stage, stopped))
+            hop.stage, hop.stop_outcome = stage, stopped
+            self.assertEqual(AttemptRunner.classify(hop, None), outcome, (stage, stopped))
 
     async def test_a_connection_that_never_comes_up_ends_in_the_connect_timeout(self):
         host = SocketHost()
@@ -188,7 +188,7 @@
         self.discovery.tell(
             2, host.line("s-full", addr=f"127.0.0.1:{address[1]}"), host.line("s-0", state="removed")
         )
-        await self.until(lambda: not self.service.owner.roster.ready(0))
+        await self.until(lambda: not self.service.owner.registry.is_ready(0))
         self.assertEqual(await caller.outcome(profile="submit", timeout="1.5"), 503)
         self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
@@ -210,12 +210,12 @@
         caller = await self.play(SocketHost(SILENT))
         caller.ask("submit")
         await self.hosts[0].got.get()
-        (order,) = self.service.owner.orders.values()
+        (order,) = self.service.owner.transactions.values()
         order.closed = True
         owner = self.service.owner
         effects = [[i.SendHop(order.number, 0, 5_000)], []]
-        with unittest.mock.patch.object(owner.proxy, "handle", side_effect=effects):
-            owner.due(7)
+        with unittest.mock.patch.object(owner.policy, "handle", side_effect=effects):
+            owner.on_timer(7)
         await self.until(self.log.hops)
         self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
         self.assertEqual(self.hosts[0].got.qsize(), 0)
@@ -224,13 +224,13 @@
 
     async def test_a_client_that_stops_half_way_does_not_hold_its_connection(self):
         caller = await self.play(SocketHost())
-        with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.02):
+        with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.02):
             caller.writer.write(b"GET /view HT")
             self.assertEqual((await caller.answer())[0], 408)
             self.assertEqual(await caller.reader.read(), b"")
 
     async def test_silence_from_the_start_is_closed_and_a_slow_sound_client_is_served(self):
-        with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.05):
+        with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.05):
             silent = await self.play(SocketHost())
             self.assertEqual(await silent.reader.read(), b"")
         slow = await self.caller()
@@ -248,7 +248,7 @@
         caller = await self.play(SocketHost(), sockets=16 + 24)
         self.assertEqual(await caller.outcome(), 200)
         silent = [await self.caller() for _ in range(60)]
-        await self.until(lambda: len(self.service.clients.open) == 16)
+        await self.until(lambda: len(self.service.clients.open_clients) == 16)
         self.assertEqual(await silent[0].reader.read(), b"")  # the oldest of them went
         self.assertEqual(await caller.outcome(profile="submit"), 200)  # and the one that had asked did not
         self.assertEqual(len(self.service.pool.kept), 1)
@@ -263,31 +263,31 @@
             drips[-1].writer.write(b"GET /view HT")
         self.assertEqual((await drips[0].answer())[0], 408)
         self.assertEqual(await caller.outcome(), 200)
-        self.assertLessEqual(len(self.service.clients.open), 16)
+        self.assertLessEqual(len(self.service.clients.open_clients), 16)
 
     async def test_a_client_that_writes_slowly_outlasts_a_crowd_that_stops_half_way(self):
         """Places ran short and the slow one went as the oldest (126 of 295 slow requests, recorded)."""
         slow = await self.play(SocketHost(), sockets=16 + 24)
         head = b"GET /view HTTP/1.1\r\nHost: s\r\nRequest-Id: slow\r\nRequest-Timeout: 1\r\n\r\n"
         slow.writer.write(head[:30])
-        await self.until(lambda: [c.state for c in self.service.clients.open] == ["coming"])
-        (good,) = self.service.clients.open
+        await self.until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"])
+        (good,) = self.service.clients.open_clients
         for _ in range(15):
             (await self.caller()).writer.write(b"GET /view HT")
-        await self.until(lambda: [c.state for c in self.service.clients.open] == ["coming"] * 16)
-        for client in self.service.clients.open:
+        await self.until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"] * 16)
+        for client in self.service.clients.open_clients:
             if client is not good:
-                client.since -= 20_000  # two seconds without a byte
+                client.last_active -= 20_000  # two seconds without a byte
         for _ in range(10):
             await self.caller()
-        await self.until(lambda: sum(c.state == "new" for c in self.service.clients.open) == 10)
-        self.assertIn(good, self.service.clients.open)
+        await self.until(lambda: sum(c.state == "new" for c in self.service.clients.open_clients) == 10)
+        self.assertIn(good, self.service.clients.open_clients)
         slow.writer.write(head[30:])
         self.assertEqual((await slow.answer())[0], 200)
 
     async def test_clients_that_ask_once_and_stay_leave_room_for_others(self):
         """They held all connections that clients may have, and others could not ask (recorded, G 0.37)."""
-        with unittest.mock.patch("basalthook.routing.clients.RESTED", 0.05):
+        with unittest.mock.patch("basalthook.routing.clients.MAX_IDLE_S", 0.05):
             await self.play(SocketHost(), sockets=16 + 24)
             heads = []
             for _ in range(12):
@@ -297,7 +297,7 @@
             self.assertNotIn("Connection: close", heads[0])
             self.assertIn("Connection: close", "".join(heads))
             self.service.descriptors.at_ease = 2
-            await self.until(lambda: len(self.service.clients.open) <= 2)
+            await self.until(lambda: len(self.service.clients.open_clients) <= 2)
 
     async def test_an_id_that_is_open_is_not_opened_again(self):
         first = await self.play(SocketHost(SILENT))
@@ -309,14 +309,14 @@
             self.hosts[0].writers[0].write(OK)
             self.assertEqual((await first.answer())[0], 200)
             self.assertEqual(self.hosts[0].got.qsize(), 0)
-            self.assertEqual(self.service.clients.ids, set())
+            self.assertEqual(self.service.clients.open_ids, set())
 
     async def test_who_sends_on_and_on_can_read_the_error_and_costs_little(self):
         caller = await self.play(SocketHost())
         caller.writer.write(b"POST /submit HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n\r\n")
         caller.writer.write(b"x" * 60_000_000)
         self.assertEqual((await caller.answer())[0], 413)
-        await self.until(lambda: not self.service.clients.open)
+        await self.until(lambda: not self.service.clients.open_clients)
         with self.assertRaises(ConnectionError):  # closed with most of it unread
             await caller.writer.drain()
 
@@ -335,13 +335,13 @@
         caller.ask("submit")
         await self.hosts[0].got.get()
         caller.writer.write(b"x" * 3_000_000)
-        (client,) = self.service.clients.open
+        (client,) = self.service.clients.open_clients
         await self.until(lambda: client.connection.paused)
         self.hosts[0].writers[0].write(OK)
         status, body, head = await caller.answer()
         self.assertEqual((status, body, "Connection: close" in head), (200, b"done", False))
         self.assertEqual((await caller.answer())[0], 431)  # it was no request
-        await self.until(lambda: not self.service.clients.open)
+        await self.until(lambda: not self.service.clients.open_clients)
         self.assertEqual(self.hosts[0].got.qsize(), 0)
 
     async def test_a_flood_of_bad_input_does_not_flood_the_log(self):
@@ -361,8 +361,8 @@
         await self.hosts[0].got.get()
         caller.writer.close()
         self.assertTrue(await self.hosts[0].ended.get())  # called back, as this deployment allows it
-        await self.until(lambda: not self.service.owner.orders)
-        self.assertEqual(self.service.owner.proxy.txs, {})
+        await self.until(lambda: not self.service.owner.transactions)
+        self.assertEqual(self.service.owner.policy.txs, {})
 
     async def test_bad_input_gets_its_status_and_reaches_no_host(self):
         first = await self.play(SocketHost())
@@ -398,7 +398,7 @@
     async def test_a_drain_in_the_watch_is_kept(self):
         caller = await self.play(SocketHost(), SocketHost())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
-        await self.until(lambda: not self.service.owner.roster.ready(0))
+        await self.until(lambda: not self.service.owner.registry.is_ready(0))
         for n in range(10):
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual((self.hosts[0].got.qsize(), self.hosts[1].got.qsize()), (0, 10))
@@ -428,39 +428,41 @@
 
     async def test_an_error_in_the_decisions_costs_one_transaction_not_the_service(self):
         caller = await self.play(SocketHost())
-        with unittest.mock.patch.object(self.service.owner.proxy, "handle", side_effect=KeyError("defect")):
+        with unittest.mock.patch.object(self.service.owner.policy, "handle", side_effect=KeyError("defect")):
             self.assertEqual(await caller.outcome(timeout="0.02"), 504)
-        self.assertIn("Arrived", [line["where"] for line in self.log.lines if line["event"] == "fault"])
+        self.assertIn(
+            "RequestReceived", [line["where"] for line in self.log.lines if line["event"] == "fault"]
+        )
         self.log.lines.clear()
         self.assertEqual(await (await self.caller()).outcome(), 200)
 
     async def test_hosts_that_are_gone_are_forgotten_once_no_hop_is_out(self):
-        roster, host = Roster(), await self.started(SocketHost())
+        roster, host = HostRegistry(), await self.started(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.told(first, False).hosts[0].host
-        roster.attempt_begun(number)
-        roster.told(first._replace(lines=()), True)
-        self.assertEqual((len(roster.places), roster.ready(number)), (1, False))
-        roster.attempt_over(number)
-        self.assertEqual((roster.places, roster.numbers), ({}, {}))
-        self.assertNotEqual(roster.told(first, True).hosts[0].host, number)
+        number = roster.apply_listing(first, False).hosts[0].host
+        roster.attempt_started(number)
+        roster.apply_listing(first._replace(lines=()), True)
+        self.assertEqual((len(roster.entries), roster.is_ready(number)), (1, False))
+        roster.attempt_finished(number)
+        self.assertEqual((roster.entries, roster.numbers_by_id), ({}, {}))
+        self.assertNotEqual(roster.apply_listing(first, True).hosts[0].host, number)
 
     async def test_where_only_draining_binds_a_host_left_out_stays_until_let_go_and_a_drained_one_goes(self):
-        roster, host = Roster(only_draining_binds=True), await self.started(SocketHost())
+        roster, host = HostRegistry(only_draining_binds=True), await self.started(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.told(first, False).hosts[0].host
+        number = roster.apply_listing(first, False).hosts[0].host
         gone = first.lines[0]._replace(ready=False)
         for lines, stays in (
             ((), True),
             ((gone._replace(removed=True),), True),
             ((gone._replace(draining=True),), False),
         ):
-            roster.told(first._replace(lines=lines), True)
-            roster.let_go({number})
-            self.assertEqual(roster.ready(number), stays)
-        roster.told(first, True)
-        roster.let_go({})
-        self.assertEqual(roster.places, {})
+            roster.apply_listing(first._replace(lines=lines), True)
+            roster.drop_unheld({number})
+            self.assertEqual(roster.is_ready(number), stays)
+        roster.apply_listing(first, True)
+        roster.drop_unheld({})
+        self.assertEqual(roster.entries, {})
 
     # ---- limits and the end
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -68,7 +68,7 @@
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
             self.assertEqual((failures, [found for _, found in self.log.hops()]), ([], [outcome]))
-            servers = self.service.owner.proxy.servers.values()
+            servers = self.service.owner.policy.servers.values()
             self.assertEqual(any(server.away for server in servers), outcome == "unreachable")
             await self.stop()
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -4,28 +4,28 @@
 from unittest.mock import patch
 
 from basalthook.protocol.catalogue import Line, Listing
-from basalthook.routing.clock import TICK, TICKS
-from basalthook.routing.roster import Roster
-from basalthook.routing.starts import Starts
+from basalthook.routing.clock import TICK_NS, TICKS_PER_SECOND
+from basalthook.routing.host_registry import HostRegistry
+from basalthook.routing.start_times import StartTimes
 from basalthook.transport import arrival
 
-HOUR = 3600 * TICKS
+HOUR = 3600 * TICKS_PER_SECOND
 
 
 class StartsOfEndpoints(unittest.TestCase):
     def setUp(self):
         self.now = 10 * HOUR
-        self.roster = Roster(starts=Starts(lambda: self.now))
+        self.roster = HostRegistry(start_times=StartTimes(lambda: self.now))
 
     def told(self, started, answered=True, name="s-0"):
         """As the decisions get it; `started`: in ticks, None: long ago."""
-        line = Line(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK)
+        line = Line(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK_NS)
         listing = Listing(1, False, (line,))
-        return self.roster.told(listing, answered).hosts[0].started
+        return self.roster.apply_listing(listing, answered).hosts[0].started
 
     def test_a_start_told_while_this_clock_is_an_hour_ahead_is_a_new_one(self):
         self.told(None)
-        self.now += 20 * TICKS
+        self.now += 20 * TICKS_PER_SECOND
         self.assertEqual(self.told(self.now - HOUR), self.now)
 
     def test_a_start_in_the_future_of_this_clock_is_a_new_one(self):
@@ -33,18 +33,18 @@
 
     def test_a_start_is_judged_once(self):
         self.told(None)
-        self.now += 20 * TICKS
+        self.now += 20 * TICKS_PER_SECOND
         started, first = self.now - HOUR, self.now
         self.assertEqual(self.told(started), first)
-        self.now += 30 * TICKS
+        self.now += 30 * TICKS_PER_SECOND
         self.assertEqual(self.told(started), first)
 
     def test_starts_that_fit_the_clock_are_taken_as_told(self):
         self.assertEqual(self.told(self.now - HOUR, answered=False), self.now - HOUR)  # of the first list
-        for ago in (0, 3 * TICKS, 24 * TICKS):  # as late as lists may come
+        for ago in (0, 3 * TICKS_PER_SECOND, 24 * TICKS_PER_SECOND):  # as late as lists may come
             self.setUp()
             self.told(None, name="s-1")
-            self.now += 20 * TICKS
+            self.now += 20 * TICKS_PER_SECOND
             self.assertEqual(self.told(self.now - ago), self.now - ago)
 
 
