--- a/basalthook/program/figures.py
+++ b/basalthook/program/figures.py
@@ -28,7 +28,7 @@
         self.timers.set(int(EVERY * self.timers.second), self.write)
 
     def write(self) -> None:
-        following = self.watch.following
+        following = self.watch.schedule
         self.log_event(
             "figures",
             list_age_s=round(self.watch.seconds_since_answer(), 1),
--- a/basalthook/routing/__init__.py
+++ b/basalthook/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Between sockets and decisions: the owner, attempts, clients' connections, discovery's watch."""
+"""Routing between sockets and policy: dispatcher, attempts, client connections, discovery watch."""
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -23,27 +23,25 @@
 )
 from .rate_limited_log import RateLimitedLog
 
-READ_TIMEOUT_S = (
-    2.5  # without progress on a request: the first counts from connecting, others from their first byte
-)
-SLOW_READ_S = 0.8  # a request without a new byte for so long counts as stopped when connections run short
-MAX_IDLE_S = 2.0  # when there are many connections
-MIN_PROGRESS_BYTES = (
-    16 * 1024
-)  # of a body that must arrive to restart the read timeout: 64 kB/s is a good client
-MEMORY_TIMEOUT_S = 4.0  # that a long body may wait for memory
-WRITE_TIMEOUT_S = 10.0  # that a client may take to read its response
-LINGER_S = 1.0  # that a rejected client gets to read the reason
-LINGER_MAX_BYTES = 1024 * 1024  # read from it meanwhile, so that a client that keeps sending costs no more
+# Longest time without progress on a request. It counts from connecting for the first request of a
+# connection, and from the first byte for the others.
+READ_TIMEOUT_S = 2.5
+SLOW_READ_S = 0.8  # when connections run short, a request without a new byte for so long counts as stopped
+MAX_IDLE_S = 2.0  # idle time of a connection while there are many
+MIN_PROGRESS_BYTES = 16 * 1024  # of a body, to restart the read timeout: 64 kB/s is a good client
+MEMORY_TIMEOUT_S = 4.0  # longest wait of a long body for memory
+WRITE_TIMEOUT_S = 10.0  # longest time until a client has read its response
+LINGER_S = 1.0  # time for a rejected client to read the reason
+LINGER_MAX_BYTES = 1024 * 1024  # read from it meanwhile: a client that keeps sending must not cost more
 DRAIN_IDLE_DELAY_S = 0.4  # from a drain until idle connections are closed: new ones still come for 0.2 s
-DRAIN_NEW_DELAY_S = 1.0  # connections without a first byte stay for so long while drained
+DRAIN_NEW_DELAY_S = 1.0  # a connection without a first byte stays for so long while drained
 DRAIN_SWEEP_INTERVAL_S = 0.2
-MAX_LOG_LINES_PER_S = 20  # of each event; bad input and failures beyond are only counted
-# States of a connection: no byte yet; part of a request has arrived; rejected, closing; between two requests;
-# a request in hand; the next request has arrived already.
+MAX_LOG_LINES_PER_S = 20  # of each event on bad input and on responses that are no commit; more are counted
+# States of a connection: no byte yet; part of a request has arrived; rejected and closing; between two
+# requests; a request in hand; the next request has arrived as well.
 NEW, READING, LINGERING, IDLE, BUSY, PIPELINED = "new", "coming", "leaving", "idle", "busy", "ahead"
 NEVER = 2**63  # ticks; later than any time of the clock
-DEADLINE_SLACK_TICKS = 200  # a response later than this after its deadline is reported as a defect
+DEADLINE_SLACK_TICKS = 200  # a response that is later than this past its deadline is reported as a defect
 
 
 class Client:
@@ -207,12 +205,12 @@
             )
         )
 
-    def reject_body(self, why: Malformed) -> None:
+    def reject_body(self, malformed: Malformed) -> None:
         self.clients.timers.cancel(self.timer)
         self.timer, self.state = None, BUSY
         self.release_memory()
         self.connection.pause()
-        self.reject(why)
+        self.reject(malformed)
 
     def release_memory(self) -> None:
         """The body is no longer needed."""
@@ -346,11 +344,11 @@
         if self.state == PIPELINED or self.connection.paused:
             self.clients.timers.set(0, self.read_next)  # not called here: many pipelined requests would nest
 
-    def reject(self, why: Malformed) -> None:
+    def reject(self, malformed: Malformed) -> None:
         """Reject bad input, and give the client time to read the reason before the connection closes."""
-        self.clients.rate_limited_log("bad input", status=why.status, reason=why.reason)
+        self.clients.rate_limited_log("bad input", status=malformed.status, reason=malformed.reason)
         self.keep_alive = False
-        if self.connection.write((application.told(why.status, why.reason, False),), self.linger):
+        if self.connection.write((application.told(malformed.status, malformed.reason, False),), self.linger):
             self.linger()
         elif not self.connection.closed:
             self.timer = self.set_timer(WRITE_TIMEOUT_S, self.on_write_timeout)
--- a/basalthook/routing/clock.py
+++ b/basalthook/routing/clock.py
@@ -12,4 +12,5 @@
         self.wall_offset_ns = wall_ns() - monotonic_ns()
 
     def now(self) -> int:
+        """Ticks since the Unix epoch."""
         return (monotonic_ns() + self.wall_offset_ns) // TICK_NS
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -60,10 +60,14 @@
 
 
 class RequestReceived(NamedTuple):
+    """A client has sent a whole request."""
+
     transaction: Transaction
 
 
 class ClientDisconnected(NamedTuple):
+    """The client has gone before its response."""
+
     transaction: Transaction
 
 
@@ -74,6 +78,8 @@
 
 
 class AttemptResult(NamedTuple):
+    """An attempt has finished."""
+
     transaction: Transaction
     attempt: int  # index in Transaction.attempts
     host: int
@@ -85,6 +91,8 @@
 
 
 class DiscoveryUpdate(NamedTuple):
+    """A host list has arrived."""
+
     listing: Listing
     answered: bool  # false: known before, not an answer of discovery
 
@@ -140,6 +148,7 @@
         self.handle_event(self.registry.apply_listing(known, answered=False))
 
     def post(self, item) -> None:
+        """Queue an item, and handle the queue unless that is under way."""
         self.queue.append(item)
         if not self.processing:
             self.process_queue()
--- a/basalthook/routing/host_registry.py
+++ b/basalthook/routing/host_registry.py
@@ -10,6 +10,8 @@
 
 
 class HostEntry(NamedTuple):
+    """What this proxy knows of a host."""
+
     id: str
     address: tuple[str, int]
     ready: bool
@@ -26,6 +28,8 @@
 
 
 class HostRegistry:
+    """Assigns each host a number, keeps its address and state, and applies operator overrides to lists."""
+
     def __init__(self, only_draining_binds: bool = False, start_times: StartTimes | None = None) -> None:
         """`only_draining_binds`: a host that is gone without having drained stays until `drop_unheld`.
 
@@ -44,7 +48,9 @@
     def apply_listing(self, listing: Listing, answered: bool) -> i.HostsListed:
         """Update the registry from a list, and convert the list to the policy's event."""
         self.changes = {}
-        event = i.HostsListed(tuple(self._line(line) for line in listing.lines), listing.complete, answered)
+        event = i.HostsListed(
+            tuple(self._update_entry(line) for line in listing.lines), listing.complete, answered
+        )
         named = {line.host for line in event.hosts}
         removed = {self.numbers_by_id[line.id] for line in listing.lines if line.removed}
         if listing.complete:
@@ -57,7 +63,9 @@
     def reapply_overrides(self, hosts: set[str]) -> i.HostsListed:
         """The list lines of these hosts as the operator overrides now make them."""
         numbers = [self.numbers_by_id[host] for host in sorted(hosts) if host in self.numbers_by_id]
-        event = i.HostsListed(tuple(self._line(self.entries[n].discovered) for n in numbers), False, False)
+        event = i.HostsListed(
+            tuple(self._update_entry(self.entries[n].discovered) for n in numbers), False, False
+        )
         for number in numbers:
             if self.overrides.is_disabled(self.entries[number].id):
                 self.on_host_left(self.entries[number].pool_key)  # it is about to be restarted
@@ -73,12 +81,13 @@
     def _drop(self, numbers) -> None:
         for number in numbers:
             if self.entries[number].ready:
-                self._changed("gone", self.entries[number].id)
+                self._add_change("gone", self.entries[number].id)
             self.entries[number] = self.entries[number]._replace(ready=False)
             self.on_host_left(self.entries[number].pool_key)
             self._forget(number)
 
     def attempt_started(self, number: int) -> HostEntry:
+        """Count an open attempt, which keeps the entry until `attempt_finished`."""
         self.open_attempts[number] = self.open_attempts.get(number, 0) + 1
         return self.entries[number]
 
@@ -92,7 +101,8 @@
     def is_ready(self, number: int) -> bool:
         return number in self.entries and self.entries[number].ready
 
-    def _line(self, discovered: Line) -> i.Host:
+    def _update_entry(self, discovered: Line) -> i.Host:
+        """Update the entry of a host from its list line, and return the line in the policy's form."""
         line = self.overrides.apply_to(discovered)
         number = self.numbers_by_id.get(line.id)
         if number is None:
@@ -101,7 +111,7 @@
         known = self.entries.get(number)
         id_hash = known.id_hash if known else terms.number(line.id)  # hashed once: lists may come often
         ready = line.ready or line.removed and self.only_draining_binds and bool(known and known.ready)
-        self._note(known, line, ready)
+        self._note_change(known, line, ready)
         self.entries[number] = HostEntry(line.id, line.address, ready, id_hash, discovered)
         started_ns = (
             self.start_times.start_time(line.id, line.started_ns) if self.start_times else line.started_ns
@@ -118,16 +128,16 @@
             line.draining,
         )
 
-    def _note(self, known: HostEntry | None, line: Line, ready: bool) -> None:
+    def _note_change(self, known: HostEntry | None, line: Line, ready: bool) -> None:
         """Record for the log what a list line changes."""
         if known is None or known.ready != ready:
-            self._changed("ready" if ready else "draining" if line.draining else "gone", line.id)
+            self._add_change("ready" if ready else "draining" if line.draining else "gone", line.id)
         elif known.address != line.address:
-            self._changed("moved", line.id)
+            self._add_change("moved", line.id)
         elif known.discovered.started_ns != line.started_ns:
-            self._changed("restarted", line.id)
+            self._add_change("restarted", line.id)
 
-    def _changed(self, change: str, host_id: str) -> None:
+    def _add_change(self, change: str, host_id: str) -> None:
         self.changes.setdefault(change, []).append(host_id)
 
     def _forget(self, number: int) -> None:
--- a/basalthook/routing/operator_calls.py
+++ b/basalthook/routing/operator_calls.py
@@ -37,14 +37,14 @@
         return Reply(200, "ready, and drained: clients are sent away" if self.clients.drained else "ready")
 
     def hosts(self, _: Call) -> Reply:
-        servers, overrides = self.dispatcher.policy.servers, self.registry.overrides
+        policy_hosts, overrides = self.dispatcher.policy.servers, self.registry.overrides
         lines = [
             {
                 "id": entry.id,
                 "address": ":".join(map(str, entry.address)),
                 "ready": entry.ready,
                 "out": overrides.is_disabled(entry.id),
-                "hops": len(servers[n].out) if n in servers else 0,
+                "hops": len(policy_hosts[n].out) if n in policy_hosts else 0,
             }
             for n, entry in self.registry.entries.items()
         ]
@@ -81,6 +81,7 @@
         return self.reply_after_saving("clients are sent away" if drained else "resumed")
 
     def reply_after_saving(self, text: str) -> Reply:
+        """Store the overrides; the reply says if that failed."""
         error = self.save_overrides(self.registry.overrides)
         if error:
             self.log_event("orders not kept", reason=error)
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -25,14 +25,14 @@
         self,
         address: tuple[str, int],
         version: int,
-        following: Following,
+        schedule: Following,
         dispatcher: Dispatcher,
         buffers: BufferPool,
         descriptors: Descriptors,
         timers: Timers,
         log_event,
     ) -> None:
-        self.address, self.version, self.following = address, version, following
+        self.address, self.version, self.schedule = address, version, schedule
         self.dispatcher, self.buffers, self.descriptors, self.log_event = (
             dispatcher,
             buffers,
@@ -56,9 +56,9 @@
     def start(self, at_once: bool = False) -> None:
         """`at_once`: make the first call without delay, for the changes that discovery has already."""
         if not self.calls and self.retry_timer is None:
-            self.following.began()
-            delay = 0 if at_once else self.following.first_delay()
-            self.retry_timer = self.timers.set(delay, self.start_call, at_once or self.following.pushed)
+            self.schedule.began()
+            delay = 0 if at_once else self.schedule.first_delay()
+            self.retry_timer = self.timers.set(delay, self.start_call, at_once or self.schedule.pushed)
 
     def stop(self) -> None:
         self.timers.cancel(self.retry_timer)
@@ -85,7 +85,7 @@
             )
             self.address, self.needs_full_list = address, True
         self.stop()
-        self.following.moved()
+        self.schedule.moved()
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
@@ -102,7 +102,7 @@
         """
         if self.calls and self.calls[-1] is call and len(self.calls) < BESIDE_MOST:
             self.log_event("list late", calls=len(self.calls))
-            self.following.fell_silent()
+            self.schedule.fell_silent()
             self.start_call(True)
 
     async def run(self, at_once: bool) -> None:
@@ -112,22 +112,22 @@
             at_once = False
         self.calls.remove(task)
         self.failure_reasons.append(reason)
-        turned_away = all(r.startswith("status") for r in self.failure_reasons)
+        rejected = all(r.startswith("status") for r in self.failure_reasons)
         if self.calls:  # one of the other calls may still be answered
-            delay = self.following.beside_delay(len(self.calls), len(self.failure_reasons), turned_away)
+            delay = self.schedule.beside_delay(len(self.calls), len(self.failure_reasons), rejected)
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log_event("list call failed", reason=reason, others=len(self.calls))
-        wait = self.following.retry_delay(turned_away)
+        wait = self.schedule.retry_delay(rejected)
         self.log_event(
             "list lost",
             reason="; ".join(dict.fromkeys(self.failure_reasons)),
             again_ms=wait * 1000 // self.timers.second,
-            failures=self.following.failures,
-            urgent=self.following.urgent,
+            failures=self.schedule.failures,
+            urgent=self.schedule.urgent,
             to=list(self.address),
         )
         self.failure_reasons = []
-        self.retry_timer = self.timers.set(wait, self.start_call, self.following.pushed)
+        self.retry_timer = self.timers.set(wait, self.start_call, self.schedule.pushed)
         self.notify_contact()
 
     def notify_contact(self) -> None:
@@ -152,7 +152,7 @@
         Returns the reason, or "" if discovery has closed the connection after an answer.
         """
         connected = asyncio.get_running_loop().create_future()
-        silent_after = self.following.silent_after(len(self.calls), at_once)
+        silent_after = self.schedule.silent_after(len(self.calls), at_once)
         connection.connect(self.address, connected.set_result)
         with self.time_limits(connection, 0, silent_after, task):
             fault = await connected
@@ -160,7 +160,7 @@
             return fault.reason
         while True:
             full_list = self.needs_full_list
-            wait = 0 if at_once or full_list else self.following.watch_wait()
+            wait = 0 if at_once or full_list else self.schedule.watch_wait()
             with self.time_limits(connection, wait, silent_after, task):
                 found = await self.call(connection, wait)
             if isinstance(found, Fault):
@@ -175,7 +175,7 @@
             if full_list and not listing.complete:
                 return "changes instead of the complete list"
             await self.take_answer(listing, task, at_once)
-            at_once, silent_after = False, self.following.silent_after(1)
+            at_once, silent_after = False, self.schedule.silent_after(1)
             if not found.keep:
                 return ""
 
@@ -187,7 +187,7 @@
         if others:
             self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.failure_reasons, self.answered_at = [task], [], self.timers.now()
-        self.following.answered()
+        self.schedule.answered()
         if listing.version < self.version and not self.needs_full_list:
             # Discovery has restarted its version numbers. It may never reach ours, and its changes would be
             # applied to a different list.
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback sockets in this process, between hosts, discovery and callers of the test."""
+"""A proxy in this process on loopback sockets, between fake hosts, a fake discovery and test clients."""
 
 import asyncio
 import unittest
@@ -9,8 +9,8 @@
 from tests.fake import Caller, SocketDiscovery, start_up
 
 
-class Said:
-    """A log that keeps what it is told."""
+class RecordingLog:
+    """Keeps the events that are logged."""
 
     def __init__(self):
         self.lines = []
@@ -18,32 +18,33 @@
     def log_event(self, event, **fields):
         self.lines.append({"event": event, **fields})
 
-    def hops(self):
+    def failed_attempts(self):
+        """Stage and outcome of each attempt that did not commit."""
         return [(line["stage"], line["outcome"]) for line in self.lines if line["event"] == "hop"]
 
 
 class Loopback(unittest.IsolatedAsyncioTestCase):
-    async def play(self, *hosts, **told):
-        """Start these hosts, discovery and a proxy that knows them; return a caller."""
+    async def start_proxy(self, *hosts, **settings):
+        """Start these hosts, discovery and a proxy that knows them; return a client of the proxy."""
         self.unhandled = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: self.unhandled.append(context))
-        self.hosts, self.log = [await self.started(h) for h in hosts], Said()
-        self.discovery = await self.started(SocketDiscovery())
-        self.service = Service(decode(start_up(self.hosts, self.discovery, **told), {}), self.log)
+        self.hosts, self.log = [await self.start_server(h) for h in hosts], RecordingLog()
+        self.discovery = await self.start_server(SocketDiscovery())
+        self.service = Service(decode(start_up(self.hosts, self.discovery, **settings), {}), self.log)
         self.listener = self.service.begin()
         self.addAsyncCleanup(self.stop)
-        late = asyncio.get_running_loop().call_later(20, asyncio.current_task().cancel)
-        self.addCleanup(late.cancel)  # a test that waits in vain fails
-        return await self.caller()
+        timeout = asyncio.get_running_loop().call_later(20, asyncio.current_task().cancel)
+        self.addCleanup(timeout.cancel)  # a test that hangs fails after 20 s
+        return await self.connect()
 
-    async def caller(self):
+    async def connect(self):
         caller = await Caller().to(self.listener.address)
         self.addAsyncCleanup(caller.stop)
         return caller
 
-    async def started(self, host):
-        self.addAsyncCleanup(host.stop)
-        return await host.start()
+    async def start_server(self, server):
+        self.addAsyncCleanup(server.stop)
+        return await server.start()
 
     async def stop(self):
         self.listener.close()
@@ -52,18 +53,18 @@
         self.service.pool.close()
         for connection in list(self.service.clients.open_clients):
             connection.close()
-        await asyncio.wait_for(self.until(lambda: not self.service.clients.descriptors.held), 5)
+        await asyncio.wait_for(self.wait_until(lambda: not self.service.clients.descriptors.held), 5)
         self.service.timers.close()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
         self.assertEqual(self.unhandled, [])
 
-    def settled(self, seconds):
-        """How long a connection to a host rests between two hops."""
+    def set_settle_time(self, seconds):
+        """How long a connection to a host rests between two attempts."""
         patch = unittest.mock.patch("basalthook.transport.hostpool.SETTLE", seconds)
         patch.start()
         self.addCleanup(patch.stop)
 
     @staticmethod
-    async def until(condition):
+    async def wait_until(condition):
         while not condition():
             await asyncio.sleep(0)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -44,8 +44,8 @@
         return head, body, whole
 
     async def test_long_answers_of_every_form_come_whole_and_their_connections_are_used_again(self):
-        caller = await self.play(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
-        self.settled(0)
+        caller = await self.start_proxy(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
+        self.set_settle_time(0)
         for _ in range(4):
             caller.ask("submit")
             head, body, whole = await self.read_on(caller)
@@ -53,7 +53,7 @@
             self.assertEqual((body == LONG, whole, "Connection" in head), (True, True, False))
         self.assertEqual(await caller.outcome(profile="submit"), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
-        self.assertEqual(self.log.hops(), [])
+        self.assertEqual(self.log.failed_attempts(), [])
 
     async def test_an_answer_of_any_size_that_comes_in_one_read_has_its_body(self):
         """Begun as a long one and over in the same read, it went on without a body (8 of 556, recorded)."""
@@ -63,7 +63,7 @@
             % (size, LONG[:size])
             for size in sizes
         ]
-        caller = await self.play(SocketHost(*ways))
+        caller = await self.start_proxy(SocketHost(*ways))
         for size in sizes:
             caller.ask("submit")
             _, body, whole = await self.read_on(caller)
@@ -72,15 +72,15 @@
     async def test_an_answer_that_breaks_off_is_not_taken_for_whole(self):
         """Short of its length, a last chunk missing, a chunk that is none, reset in the middle."""
         chunks = CHUNKED[:-12]
-        caller = await self.play(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
+        caller = await self.start_proxy(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
         for _ in range(3):
             caller.ask("submit")
             _, _, whole = await self.read_on(caller)
             self.assertFalse(whole)
-            caller = await self.caller()
+            caller = await self.connect()
 
     async def test_a_client_that_reads_nothing_halts_its_host_and_no_other_and_goes(self):
-        first, second = await self.play(SocketHost(SILENT), SocketHost(SILENT)), await self.caller()
+        first, second = await self.start_proxy(SocketHost(SILENT), SocketHost(SILENT)), await self.connect()
         first.ask("submit")
         await asyncio.wait(
             [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
@@ -92,11 +92,11 @@
             for host in self.hosts:
                 host.ways = [OK]
             self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
-            await asyncio.wait_for(self.until(lambda: len(self.service.clients.open_clients) == 1), 10)
+            await asyncio.wait_for(self.wait_until(lambda: len(self.service.clients.open_clients) == 1), 10)
         self.assertEqual(len(self.service.owner.transactions), 0)
 
     async def test_a_client_that_goes_ends_its_hosts_connection(self):
-        caller = await self.play(SocketHost(SIZED[:-1000]))
+        caller = await self.start_proxy(SocketHost(SIZED[:-1000]))
         caller.ask("submit")
         await caller.reader.readuntil(b"\r\n\r\n")
         await caller.stop()
@@ -104,7 +104,7 @@
 
     async def test_long_bodies_of_requests_reach_a_host_whole_and_a_second_one_after_it(self):
         refused = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-        caller = await self.play(SocketHost(refused, OK), SocketHost())
+        caller = await self.start_proxy(SocketHost(refused, OK), SocketHost())
         for n in range(6):
             chunked = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG)
             caller.writer.write(HEAD % b"b%d" % n + (chunked if n % 2 else SENT))
@@ -115,29 +115,29 @@
         self.assertEqual(self.service.clients.body_memory.held, 0)
 
     async def test_bodies_wait_for_room_in_turn_and_who_gets_none_is_rolled_back(self):
-        first, second = await self.play(SocketHost()), await self.caller()
+        first, second = await self.start_proxy(SocketHost()), await self.connect()
         self.service.clients.body_memory.most = 4_000_000
 
         def begin(caller, n, count):
             caller.writer.write(HEAD % b"w%d" % n + SENT[:count])
 
         begin(first, 1, 100_000)
-        await self.until(lambda: self.service.clients.body_memory.held)
+        await self.wait_until(lambda: self.service.clients.body_memory.held)
         begin(second, 2, len(SENT))
-        await self.until(lambda: self.service.clients.body_memory.waiting)
+        await self.wait_until(lambda: self.service.clients.body_memory.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
             self.assertEqual((await caller.answer())[0], 200)
         begin(first, 3, 100_000)
-        await self.until(lambda: self.service.clients.body_memory.held)
+        await self.wait_until(lambda: self.service.clients.body_memory.held)
         with unittest.mock.patch("basalthook.routing.clients.MEMORY_TIMEOUT_S", 0.02):
             begin(second, 4, 100_000)
             self.assertEqual((await second.answer())[0], 503)
         await first.stop()
-        await self.until(lambda: not self.service.clients.body_memory.held)
+        await self.wait_until(lambda: not self.service.clients.body_memory.held)
 
     async def test_memory_of_a_body_that_the_door_turns_away_is_free_again(self):
-        caller = await self.play(SocketHost())
+        caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
             self.assertEqual((await caller.answer())[0], 503)
@@ -147,7 +147,7 @@
 
     async def test_a_body_that_comes_slowly_is_a_good_client_and_one_that_stops_is_not(self):
         with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.2):
-            caller = await self.play(SocketHost())
+            caller = await self.start_proxy(SocketHost())
             caller.writer.write(HEAD % b"s1" + b"Content-Length: 375000\r\n\r\n")
             for at in range(0, 375_000, 37_500):
                 caller.writer.write(LONG[at : at + 37_500])
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -17,8 +17,8 @@
 
 
 class Console(Loopback):
-    async def play(self, *hosts, **told):
-        caller = await super().play(*hosts, console="127.0.0.1:0", **told)
+    async def start_proxy(self, *hosts, **told):
+        caller = await super().start_proxy(*hosts, console="127.0.0.1:0", **told)
         self.addCleanup(self.service.console.close)
         return caller
 
@@ -31,12 +31,12 @@
         return status, body, head
 
     async def health(self):
-        caller = await self.caller()
+        caller = await self.connect()
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         return (await caller.answer())[0]
 
     async def test_every_call_has_its_answer_at_once_and_none_is_a_fault(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         long = b"GET /-/ready HTTP/1.1\r\nHost: c\r\nX: " + b"x" * 20_000
         for method, path, data, status in (
             ("GET", "/-/ready", None, 200),
@@ -64,19 +64,19 @@
         self.assertIn("/-/hosts/s%2D0/disable", said)
 
     async def test_callers_that_finish_no_call_hold_up_none(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         slow = [await Caller().to(self.service.console.address) for _ in range(20)]
         for each in slow:
             each.writer.write(b"PUT /-/dr")
-        await self.until(lambda: len(self.service.callers.open) == 12)
+        await self.wait_until(lambda: len(self.service.callers.open) == 12)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
         for each in slow:
             self.assertEqual(await asyncio.wait_for(each.reader.read(), 5), b"")
             await each.stop()
-        await asyncio.wait_for(self.until(lambda: not self.service.callers.descriptors.held), 5)
+        await asyncio.wait_for(self.wait_until(lambda: not self.service.callers.descriptors.held), 5)
 
     async def test_a_host_taken_out_gets_nothing_until_it_is_put_back_whatever_the_list_says(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         first, second = self.hosts
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         lists = (
@@ -88,7 +88,7 @@
         )
         for version, lines in enumerate(lists, 2):
             self.discovery.tell(version, *lines, second.line("s-1"), full=not lines)
-            await self.until(lambda v=version: self.service.watch.version == v)
+            await self.wait_until(lambda v=version: self.service.watch.version == v)
             for n in range(6):
                 self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual(first.got.qsize(), 0)
@@ -96,14 +96,14 @@
         self.assertEqual((told["id"], told["out"], told["ready"]), ("s-0", True, False))
 
     async def test_put_back_it_is_used_and_counts_as_cold_from_then_on(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         for _ in range(2):  # out twice, back once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
         server = next(s for s in self.service.owner.policy.servers.values() if s.line.started)
         self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
-        await self.until(lambda: self.service.watch.version == 2)
+        await self.wait_until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
@@ -114,7 +114,7 @@
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
 
     async def test_nothing_leaves_for_a_host_taken_out_while_its_connection_came_up(self):
-        caller = await self.play(SocketHost())
+        caller = await self.start_proxy(SocketHost())
         fresh = self.service.pool.fresh
 
         def out_meanwhile(address, up):
@@ -127,23 +127,25 @@
         self.service.pool.fresh = out_meanwhile
         caller.ask("submit", timeout="0.3")
         self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", i.UNSENT)], 0))
+        self.assertEqual(
+            (self.log.failed_attempts(), self.hosts[0].got.qsize()), ([("untried", i.UNSENT)], 0)
+        )
 
     async def test_all_hosts_out_gives_clear_answers(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         for host in ("s-0", "s-1"):
             await self.call("PUT", f"/-/hosts/{host}/disable")
         self.assertEqual(await caller.outcome(timeout="0.2"), 503)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
 
     async def test_a_drain_sends_clients_away_and_cuts_no_request(self):
-        idle, busy = await self.play(SocketHost(SILENT)), await self.caller()
+        idle, busy = await self.start_proxy(SocketHost(SILENT)), await self.connect()
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # without a drain: nothing
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         await idle.answer()
         busy.ask("submit")
         await self.hosts[0].got.get()
-        silent = await self.caller()
+        silent = await self.connect()
         with unittest.mock.patch.multiple(
             "basalthook.routing.clients",
             DRAIN_IDLE_DELAY_S=0.02,
@@ -155,7 +157,7 @@
             self.assertEqual(await self.health(), 503)
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual(await silent.reader.read(), b"")
-        late = await self.caller()  # new ones still come for a moment
+        late = await self.connect()  # new ones still come for a moment
         late.ask("submit", key="k2")
         await self.hosts[0].got.get()
         for writer in self.hosts[0].writers:
@@ -166,7 +168,7 @@
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)
         self.assertEqual(await self.health(), 200)
         self.hosts[0].ways = [OK]
-        again = await self.caller()
+        again = await self.connect()
         again.ask()
         status, _, head = await again.answer()
         self.assertEqual((status, "Connection: close" in head), (200, False))
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -1,4 +1,4 @@
-"""What holds when an attempt is decided has to hold still at its first byte."""
+"""The conditions for an attempt are checked again right before its first byte is sent."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
     i.PLACEMENT,
     i.CLIENT_GONE,
 )
-LATE = 0.5  # seconds that a connection takes to come up
+CONNECT_DELAY_S = 0.5  # that a connection takes to be established
 SCAN = {
     "name": "scan",
     "effect": "by_key",
@@ -27,84 +27,86 @@
 
 
 class LateConnections(Loopback):
-    async def retried(self, meanwhile=lambda: None, window=0.3):
-        """The first attempt is reset under its request; the second one's connection comes up late."""
+    async def start_retry(self, meanwhile=lambda: None, window=0.3):
+        """The first attempt is reset after its request; the second one's connection is established late."""
         profile = {**SCAN, "repeat_window_ns": int(window * 1e9)}
-        caller = await self.play(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
+        caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
         fresh, connecting = self.service.pool.fresh, asyncio.Event()
 
-        def late(address, up):
+        def connect_late(address, up):
             if not self.hosts[0].got.qsize() + self.hosts[1].got.qsize():
                 return fresh(address, up)
             connecting.set()
-            return fresh(address, lambda fault: asyncio.get_running_loop().call_later(LATE, up, fault))
+            return fresh(
+                address, lambda fault: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, up, fault)
+            )
 
-        self.service.pool.fresh = late
+        self.service.pool.fresh = connect_late
         caller.ask("scan")
         await connecting.wait()
         meanwhile()
         return caller
 
-    def attempts(self):
+    def count_attempts(self):
         return sum(host.got.qsize() for host in self.hosts)
 
-    def refused(self):
-        """Reasons for which attempts were not begun after all: of the log's lines, and as counted."""
+    def refusals(self):
+        """Reasons why decided attempts were not begun: those in the log, and the counts."""
         lines = [line["reason"] for line in self.log.lines if line["event"] == "hop"]
         return [reason for reason in lines if reason in REASONS], dict(self.service.attempts.refusal_counts)
 
     async def test_a_keyed_request_is_not_sent_again_after_its_window(self):
-        caller = await self.retried()
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.REPEAT_NOT_ALLOWED], {i.REPEAT_NOT_ALLOWED: 1}))
+        caller = await self.start_retry()
+        self.assertEqual(((await caller.answer())[0], self.count_attempts()), (502, 1))
+        self.assertEqual(self.refusals(), ([i.REPEAT_NOT_ALLOWED], {i.REPEAT_NOT_ALLOWED: 1}))
 
     async def test_a_keyed_request_is_sent_again_within_its_window(self):
-        caller = await self.retried(window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 2))
+        caller = await self.start_retry(window=1.9)
+        self.assertEqual(((await caller.answer())[0], self.count_attempts()), (502, 2))
 
-    async def test_a_keyed_request_is_not_sent_to_an_endpoint_that_left_its_group(self):
-        def leave():
+    async def test_a_keyed_request_is_not_sent_to_a_host_that_left_its_group(self):
+        def change_cell():
             (second,) = (n for n, host in enumerate(self.hosts) if not host.got.qsize())
             self.discovery.tell(2, self.hosts[second].line(f"s-{second}", cell=1))
 
-        caller = await self.retried(leave, window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.PLACEMENT], {i.PLACEMENT: 1}))
+        caller = await self.start_retry(change_cell, window=1.9)
+        self.assertEqual(((await caller.answer())[0], self.count_attempts()), (502, 1))
+        self.assertEqual(self.refusals(), ([i.PLACEMENT], {i.PLACEMENT: 1}))
 
-    async def test_nothing_is_sent_to_an_endpoint_that_began_to_drain_while_its_connection_came_up(self):
-        def drain():
+    async def test_nothing_is_sent_to_a_host_that_began_to_drain_during_connecting(self):
+        def drain_host():
             (second,) = (n for n, host in enumerate(self.hosts) if not host.got.qsize())
             self.discovery.tell(2, self.hosts[second].line(f"s-{second}", state="draining"))
 
-        caller = await self.retried(drain, window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.ENDPOINT_LEAVING], {i.ENDPOINT_LEAVING: 1}))
+        caller = await self.start_retry(drain_host, window=1.9)
+        self.assertEqual(((await caller.answer())[0], self.count_attempts()), (502, 1))
+        self.assertEqual(self.refusals(), ([i.ENDPOINT_LEAVING], {i.ENDPOINT_LEAVING: 1}))
 
-    async def test_nothing_is_sent_for_a_client_that_left_behind_the_first_bytes_of_its_next_request(self):
-        caller = await self.retried(window=1.9)
+    async def test_nothing_is_sent_for_a_client_that_left_after_beginning_its_next_request(self):
+        caller = await self.start_retry(window=1.9)
         caller.writer.write(b"GET /")
         await asyncio.sleep(0.1)
         caller.writer.close()
-        await asyncio.sleep(LATE + 0.2)
-        self.assertEqual(self.attempts(), 1)
-        self.assertEqual(self.refused()[1], {i.CLIENT_GONE: 1})
+        await asyncio.sleep(CONNECT_DELAY_S + 0.2)
+        self.assertEqual(self.count_attempts(), 1)
+        self.assertEqual(self.refusals()[1], {i.CLIENT_GONE: 1})
 
-    async def test_nothing_is_sent_for_a_client_that_left_meanwhile(self):
-        caller = await self.retried(window=1.9)
+    async def test_nothing_is_sent_for_a_client_that_left_during_connecting(self):
+        caller = await self.start_retry(window=1.9)
         caller.writer.transport.abort()
-        await asyncio.sleep(LATE + 0.2)
-        self.assertEqual(self.attempts(), 1)
+        await asyncio.sleep(CONNECT_DELAY_S + 0.2)
+        self.assertEqual(self.count_attempts(), 1)
 
-    async def test_an_answer_for_a_client_just_seen_to_have_left_is_no_fault(self):
-        caller = await self.play(SocketHost(SILENT))
+    async def test_a_response_for_a_client_that_has_just_left_is_no_fault(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
         caller.ask("view")
         await self.hosts[0].got.get()
-        owner, (client,) = self.service.owner, self.service.clients.open_clients
-        (order,) = owner.transactions.values()
-        owner.processing = True  # as within an event: what comes waits in the queue
+        dispatcher, (client,) = self.service.owner, self.service.clients.open_clients
+        (transaction,) = dispatcher.transactions.values()
+        dispatcher.processing = True  # as while an item is handled: new ones are queued
         client.on_closed(None)
-        order.close(Response("abandoned"))
-        owner.process_queue()
+        transaction.close(Response("abandoned"))
+        dispatcher.process_queue()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
 
 
@@ -121,24 +123,24 @@
 
 
 class SlowStart(unittest.TestCase):
-    def test_attempts_whose_connections_come_up_late_count_in_a_cold_endpoints_window_when_they_begin(self):
+    def test_attempts_with_slow_connections_count_in_a_cold_hosts_window_when_they_begin(self):
         cold = FakeHost(0, started=990_000, outcome=None)
         stage = Stage([cold])
         stage.proxy.usual_rate = 40.0
         stage.many(40)
         first = len(cold.got)
         self.assertIn(first, range(3, 40))
-        stage.now += 10_000  # of a window of 30,000
+        stage.now += 10_000  # ticks, of a window of 30,000
         self.assertEqual({stage.proxy.refusal(stage.now, tx, 0) for tx in cold.got}, {None})
         for tx in list(cold.got):
             stage.end(tx, 0, 0, i.COMMITTED)
         stage.now += 21_000
         stage.many(40)
-        self.assertLessEqual(len(cold.got), first + 1)  # its slice has grown a little meanwhile
+        self.assertLessEqual(len(cold.got), first + 1)  # the cold host's share has grown a little meanwhile
 
 
 class Refusals(unittest.TestCase):
-    def test_a_keyed_request_that_may_have_run_is_not_refused_as_harmless_after_its_window(self):
+    def test_a_keyed_request_that_may_have_run_is_not_rolled_back_after_its_window(self):
         for elapsed, answer in ((1_000, i.RollBack), (7_000, i.Abandon)):
             stage = Stage([FakeHost(0, outcome=i.RESET)], elapsed=elapsed, max_hops=1)
             self.assertEqual(stage.answers.get(stage.arrive(UPLOAD, key=1)), answer)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -118,24 +118,24 @@
 class Followed(Loopback):
     async def leaves(self, seconds, mode, then=int):
         """The watch has been answered once and then says nothing; the news is there for whoever asks anew."""
-        caller = await self.play(SocketHost(), SocketHost(), mode=mode)
+        caller = await self.start_proxy(SocketHost(), SocketHost(), mode=mode)
         self.discovery.tell(2)
         self.assertEqual([await self.discovery.got.get() for _ in range(2)][1].split("&")[0][-7:], "index=2")
         then()
         self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
         self.discovery.news.put_nowait(b"")  # taken by the one that said nothing
         self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
-        await self.until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
         self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
         self.assertEqual(self.hosts[0].got.qsize(), 0)
-        await self.until(lambda: len(self.service.watch.calls) == 1)
+        await self.wait_until(lambda: len(self.service.watch.calls) == 1)
 
     async def test_the_first_watch_of_a_process_is_short_and_those_after_answers_grow(self):
         # guards against a first watch that falls silent, and is missed only after its news counts
         rules = {**SETTINGS["rules"], "ask_within_ns": 20_000_000_000, "drain_grace_ns": 500_000_000}
         for mode, longest in (("pushed", 8_000), ("on_request", 4_000)):
             waits = []
-            await self.play(SocketHost(), mode=mode, rules=rules)
+            await self.start_proxy(SocketHost(), mode=mode, rules=rules)
             for _ in range(3):
                 line = await asyncio.wait_for(self.discovery.got.get(), 5)
                 waits.append(int(line.rsplit("wait=", 1)[1]))
@@ -158,7 +158,7 @@
     async def test_a_pushed_watch_opened_again_that_is_silent_from_the_first_gets_a_call_beside_it(self):
         # guards against news that counts at discovery's return, looked for on one silent connection alone
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
-        await self.play(SocketHost(), mode="pushed", rules=rules)
+        await self.start_proxy(SocketHost(), mode="pushed", rules=rules)
         self.discovery.tell(2)
         await self.discovery.got.get(), await self.discovery.got.get()
         self.discovery.writers[-1].transport.abort()
@@ -168,7 +168,7 @@
     async def test_a_call_that_breaks_beside_a_silent_one_is_made_again_within_the_grace(self):
         # guards against news lost with an answer, while another call that says nothing is waited for
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
-        await self.play(SocketHost(), rules=rules)
+        await self.start_proxy(SocketHost(), rules=rules)
         self.discovery.tell(2)
         for _ in range(3):  # the first, the silent one, and the one beside it
             await asyncio.wait_for(self.discovery.got.get(), 2)
@@ -176,22 +176,22 @@
         await asyncio.wait_for(self.discovery.got.get(), 0.3)
 
     async def test_a_list_of_changes_is_not_taken_for_the_whole_list_of_another_discovery(self):
-        await self.play(SocketHost(), SocketHost())
+        await self.start_proxy(SocketHost(), SocketHost())
         await self.discovery.got.get()
-        moved = await self.started(SocketDiscovery())
+        moved = await self.start_server(SocketDiscovery())
         self.service.watch.set_address(catalogue.address(moved.address))
         self.assertEqual(await moved.got.get(), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"))  # full: false
         self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"), full=True)
-        await self.until(lambda: not self.service.owner.registry.is_ready(1))
+        await self.wait_until(lambda: not self.service.owner.registry.is_ready(1))
 
     async def test_sighup_with_the_same_address_calls_at_once_where_a_call_waits_for_its_time(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         await self.discovery.got.get()
         watch, address = self.service.watch, self.service.watch.address
         self.discovery.writers[-1].transport.abort()
-        await self.until(lambda: watch.retry_timer is not None)
+        await self.wait_until(lambda: watch.retry_timer is not None)
         watch.timers.cancel(watch.retry_timer)
         watch.retry_timer = watch.timers.set(50_000, watch.start_call, False)
         watch.set_address(address)
@@ -199,7 +199,7 @@
 
     async def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(self):
         # guards against asking for ever for what is newer than a version it will never reach
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
             self.discovery.tell(version, self.hosts[0].line("s-0", state="draining"), full=full)
         asked = [await self.discovery.got.get() for _ in range(4)]
@@ -207,7 +207,7 @@
 
     async def test_a_discovery_that_answers_at_once_for_ever_is_called_a_bounded_number_of_times(self):
         for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):  # the same list on and on; ever newer
-            await self.play(SocketHost())
+            await self.start_proxy(SocketHost())
             for n in range(2, 1_000):
                 self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
             await asyncio.sleep(0.5)
@@ -215,20 +215,20 @@
             await self.stop()
 
     async def test_a_list_of_eleven_hundred_hosts_is_followed_and_those_that_leave_are_left(self):
-        caller = await self.play(SocketHost())
+        caller = await self.start_proxy(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
         self.discovery.tell(2, *lines, full=True)
-        await self.until(lambda: len(self.service.owner.policy.ready) == 1_100)
+        await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1_100)
         self.discovery.tell(3, *({**line, "state": "draining"} for line in lines[:1_099]))
-        await self.until(lambda: len(self.service.owner.policy.ready) == 1)
+        await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1)
         self.assertEqual(await caller.outcome(), 200)
 
     async def test_a_pushed_process_is_ready_once_it_has_heard_and_serves_on_while_discovery_is_down(self):
-        caller = await self.play(SocketHost(), SocketHost(), mode="pushed")
+        caller = await self.start_proxy(SocketHost(), SocketHost(), mode="pushed")
         self.assertFalse(self.service.clients.ready)
         self.assertIn("wait=0", await self.discovery.got.get())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
-        await self.until(lambda: self.service.clients.ready)
+        await self.wait_until(lambda: self.service.clients.ready)
         self.assertFalse(self.service.owner.registry.is_ready(0))
         await self.discovery.stop()
         await asyncio.sleep(0.6)  # asked on and on, within half of the grace
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""Failures that operators have seen, each played again on real processes over loopback."""
+"""Failures seen in operation, reproduced with real processes on loopback."""
 
 import unittest
 from importlib.resources import files
@@ -6,22 +6,22 @@
 from basalthook.lab import processes, scenario
 
 
-def play(name, rig=None, **changes):
-    """The result of one of the lab's scenarios on real processes; `changes`: text -> other text."""
+def run_scenario(name, rig=None, **changes):
+    """Run a scenario of the lab on real processes; `changes` maps text in its file to a replacement."""
     text = files("basalthook.lab").joinpath("scenarios", name).read_text("utf-8")
     for old, new in changes.items():
         text = text.replace(old, new)
     return processes.play(scenario.parse(text, name), rig)
 
 
-class DiscoveryMoved(unittest.TestCase):
-    def test_drained_hosts_get_nothing_after_discovery_moved_in_a_row_and_turned_calls_away(self):
-        result = play("moved-in-a-row.toml")
+class DiscoveryTrouble(unittest.TestCase):
+    def test_draining_hosts_get_nothing_after_discovery_moved_repeatedly_and_rejected_calls(self):
+        result = run_scenario("moved-in-a-row.toml")
         self.assertEqual((result.faults, result.verdict.first), ([], None))
         self.assertGreater(result.verdict.service, 0.95)
 
-    def test_drained_hosts_get_nothing_though_discovery_answers_each_call_three_seconds_late(self):
-        result = play("slow-discovery.toml")
+    def test_draining_hosts_get_nothing_though_discovery_answers_each_call_3_s_late(self):
+        result = run_scenario("slow-discovery.toml")
         self.assertEqual((result.faults, result.verdict.first), ([], None))
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The client proxy on loopback sockets, in this process: hops by stage, clients, discovery, limits."""
+"""The client proxy on loopback sockets, in this process: attempts by stage, clients, discovery, limits."""
 
 import asyncio
 import socket
@@ -21,11 +21,11 @@
 
 
 class Sockets(Loopback):
-    # ---- hops, by how far they had come
+    # ---- attempts, by the stage they reached
 
-    async def test_a_commit_passes_the_body_on_and_keeps_the_connections(self):
-        caller = await self.play(SocketHost())
-        self.settled(0)
+    async def test_a_commit_passes_the_body_on_and_reuses_the_connections(self):
+        caller = await self.start_proxy(SocketHost())
+        self.set_settle_time(0)
         for _ in range(3):
             caller.ask("submit", body=b"x" * 60_000)
             status, body, _ = await caller.answer()
@@ -35,130 +35,138 @@
             self.assertIn("Request-Id: ", head.title())
         self.assertEqual(len(self.hosts[0].writers), 1)
 
-    async def test_refused_connections_ran_nothing_and_the_next_host_gets_it(self):
-        dead, alive = await self.started(SocketHost()), SocketHost()
+    async def test_after_a_refused_connection_the_transaction_goes_to_the_next_host(self):
+        dead, alive = await self.start_server(SocketHost()), SocketHost()
         dead.server.close()
         await dead.server.wait_closed()
-        caller = await self.play(alive)
+        caller = await self.start_proxy(alive)
         self.discovery.tell(2, dead.line("s-dead"))
-        await self.until(lambda: len(self.service.owner.registry.entries) == 2)
+        await self.wait_until(lambda: len(self.service.owner.registry.entries) == 2)
         for n in range(12):
             self.assertEqual(await caller.outcome(profile="submit", key=f"k{n}"), 200)
-        self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])  # then it is banned
+        self.assertEqual(
+            self.log.failed_attempts(), [("connecting", i.UNREACHABLE)]
+        )  # after that the host is banned
 
-    async def test_what_must_not_run_twice_is_abandoned_after_a_reset(self):
-        caller = await self.play(SocketHost(RESET), SocketHost(RESET))
+    async def test_a_transaction_that_must_not_run_twice_is_abandoned_after_a_reset(self):
+        caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET))
         self.assertEqual(await caller.outcome(profile="submit"), 502)
-        self.assertEqual(self.log.hops(), [("written", i.RESET)])
+        self.assertEqual(self.log.failed_attempts(), [("written", i.RESET)])
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 1)
 
-    async def test_answers_that_are_not_whole_are_never_passed_on(self):
-        """A short body, garbage, a switch, one of a length that none has."""
-        ways = [
+    async def test_malformed_responses_are_never_passed_on(self):
+        """A truncated body, bytes that are no HTTP, a protocol switch, an implausible length."""
+        responses = [
             (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",),
             (b"\0\r\n\r\n",),
             (b"HTTP/1.1 101 X\r\n\r\n",),
             (b"HTTP/1.1 200 OK\r\nContent-Length: 9999999999\r\n\r\n",),
             OK,
         ]
-        caller = await self.play(SocketHost(*ways))
-        for way in ways:
-            expected = 200 if way == OK else 502
-            self.assertEqual(await caller.outcome(profile="submit"), expected, way)
+        caller = await self.start_proxy(SocketHost(*responses))
+        for response in responses:
+            expected = 200 if response == OK else 502
+            self.assertEqual(await caller.outcome(profile="submit"), expected, response)
 
-    async def test_hosts_that_answer_badly_now_and_then_stay_in_use(self):
-        spoilt = [
+    async def test_hosts_with_occasional_malformed_responses_stay_in_use(self):
+        malformed = [
             b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
             b"\0\xff\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 5000,
         ]
-        caller = await self.play(*(SocketHost(way, OK) for way in spoilt))
+        caller = await self.start_proxy(*(SocketHost(response, OK) for response in malformed))
         statuses = [await caller.outcome(profile="submit", key=f"k{n}") for n in range(30)]
         self.assertEqual((statuses.count(502), statuses.count(200)), (3, 27))
-        self.assertEqual(self.log.hops(), [("answering", i.ERROR)] * 3)
+        self.assertEqual(self.log.failed_attempts(), [("answering", i.ERROR)] * 3)
 
-    async def test_what_a_host_declines_goes_back_at_once_and_blames_no_host(self):
-        """Each bad transaction cost two hosts their good name, and a repeat at a second one."""
-        caller = await self.play(*(SocketHost(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n") for _ in "ab"))
+    async def test_a_declined_transaction_is_answered_at_once_and_not_held_against_hosts(self):
+        """Each bad transaction was repeated at a second host, and both hosts were treated as faulty."""
+        caller = await self.start_proxy(
+            *(SocketHost(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n") for _ in "ab")
+        )
         for n in range(20):
             self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
         self.assertEqual({s.away.get("ban", 0) for s in self.service.owner.policy.servers.values()}, {0})
 
-    async def test_turned_away_is_harmless_and_so_rolled_back(self):
-        caller = await self.play(SocketHost(REFUSED), SocketHost(REFUSED))
+    async def test_a_transaction_that_all_hosts_refuse_is_rolled_back(self):
+        caller = await self.start_proxy(SocketHost(REFUSED), SocketHost(REFUSED))
         caller.ask("submit", timeout="0.300")
         status, _, head = await caller.answer()
         self.assertEqual(status, 503)
-        self.assertEqual(len(self.hosts[0].writers), 1)  # its connection is good for the next hop
+        self.assertEqual(len(self.hosts[0].writers), 1)  # its connection is reused for the next attempt
 
-    async def test_a_connection_that_ended_while_kept_is_not_written_to(self):
-        caller = await self.play(SocketHost())
+    async def test_a_pooled_connection_that_has_ended_is_not_reused(self):
+        caller = await self.start_proxy(SocketHost())
         self.assertEqual(await caller.outcome(), 200)
         self.hosts[0].writers[0].close()
-        await self.until(lambda: not self.service.pool.kept)
+        await self.wait_until(lambda: not self.service.pool.kept)
         self.assertEqual(await caller.outcome(profile="submit"), 200)
-        self.assertEqual(self.log.hops(), [])
+        self.assertEqual(self.log.failed_attempts(), [])
 
-    async def test_a_connection_that_said_something_unasked_is_not_used_again(self):
-        caller = await self.play(SocketHost(OK + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnot", OK))
+    async def test_a_connection_with_unsolicited_bytes_is_not_reused(self):
+        caller = await self.start_proxy(
+            SocketHost(OK + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnot", OK)
+        )
         for _ in range(2):
             caller.ask()
             self.assertEqual((await caller.answer())[1], b"done")
         self.assertEqual(len(self.hosts[0].writers), 2)
 
-    async def test_a_connection_rests_before_its_next_hop(self):
-        """What comes behind an answer a moment late was taken for the answer to the next transaction."""
-        caller = await self.play(SocketHost())
-        self.settled(60)
+    async def test_a_connection_rests_before_its_next_attempt(self):
+        """Bytes that arrived just after a response were taken for the response to the next transaction."""
+        caller = await self.start_proxy(SocketHost())
+        self.set_settle_time(60)
         for connections in (1, 2):
             self.assertEqual(await caller.outcome(), 200)
             self.assertEqual(len(self.hosts[0].writers), connections)
 
-    async def test_a_new_host_at_an_old_address_gets_no_connection_of_the_one_before(self):
-        caller = await self.play(SocketHost())
-        self.settled(0)
+    async def test_a_new_host_at_an_old_address_inherits_no_connection(self):
+        caller = await self.start_proxy(SocketHost())
+        self.set_settle_time(0)
         self.assertEqual(await caller.outcome(), 200)
         self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
-        await self.until(lambda: self.service.owner.registry.is_ready(1))
+        await self.wait_until(lambda: self.service.owner.registry.is_ready(1))
         self.assertEqual(self.service.pool.kept, {})
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
 
-    async def test_an_idle_connection_goes_before_the_host_would_close_it(self):
-        caller = await self.play(SocketHost(), allowed={**SETTINGS["allowed"], "keepalive_ns": 50_000_000})
+    async def test_an_idle_connection_is_closed_before_the_host_would_close_it(self):
+        caller = await self.start_proxy(
+            SocketHost(), allowed={**SETTINGS["allowed"], "keepalive_ns": 50_000_000}
+        )
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual(len(self.service.pool.kept), 1)
         self.assertTrue(await self.hosts[0].ended.get())
         self.assertEqual((self.service.pool.kept, self.service.pool.by_host), ({}, {}))
 
-    async def test_a_silent_host_costs_its_connection_and_the_answer_comes_in_time(self):
-        caller = await self.play(SocketHost(SILENT))
+    async def test_an_attempt_at_a_silent_host_times_out_and_its_connection_is_closed(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
         self.assertEqual(await caller.outcome(profile="submit", timeout="0.2"), 504)
         self.assertTrue(await self.hosts[0].ended.get())
-        self.assertEqual(self.log.hops(), [("written", i.TIMED_OUT)])
+        self.assertEqual(self.log.failed_attempts(), [("written", i.TIMED_OUT)])
         self.assertEqual(self.service.pool.kept, {})
 
-    async def test_nothing_leaves_for_what_was_answered_while_its_connection_came_up(self):
+    async def test_nothing_is_sent_for_a_transaction_closed_while_its_connection_was_being_made(self):
         host = SocketHost()
-        caller = await self.play(host)
+        caller = await self.start_proxy(host)
         fresh = self.service.pool.fresh
 
-        def gone_meanwhile(address, up):
-            def come(fault):
-                (order,) = self.service.owner.transactions.values()
-                order.closed = True
+        def close_meanwhile(address, up):
+            def connected(fault):
+                (transaction,) = self.service.owner.transactions.values()
+                transaction.closed = True
                 up(fault)
 
-            return fresh(address, come)
+            return fresh(address, connected)
 
-        self.service.pool.fresh = gone_meanwhile
+        self.service.pool.fresh = close_meanwhile
         caller.ask("submit")
-        await self.until(self.log.hops)
-        self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
+        await self.wait_until(self.log.failed_attempts)
+        self.assertEqual(self.log.failed_attempts(), [("untried", i.UNSENT)])
         self.assertEqual((host.got.qsize(), len(self.service.pool.kept)), (0, 1))
 
-    async def test_from_the_stage_alone_follows_what_may_have_run(self):
+    async def test_the_outcome_follows_from_the_stage_alone(self):
         for stage, stopped, outcome in (
             (Stage.UNTRIED, None, i.UNSENT),
             (Stage.CONNECTING, None, i.UNREACHABLE),
@@ -170,70 +178,70 @@
             (Stage.WRITTEN, i.TIMED_OUT, i.TIMED_OUT),
             (Stage.ANSWERING, i.CANCELLED, i.CANCELLED),
         ):
-            hop = Attempt(None, None, 0, 0, None, 0, 1)
-            hop.stage, hop.stop_outcome = stage, stopped
-            self.assertEqual(AttemptRunner.classify(hop, None), outcome, (stage, stopped))
+            attempt = Attempt(None, None, 0, 0, None, 0, 1)
+            attempt.stage, attempt.stop_outcome = stage, stopped
+            self.assertEqual(AttemptRunner.classify(attempt, None), outcome, (stage, stopped))
 
-    async def test_a_connection_that_never_comes_up_ends_in_the_connect_timeout(self):
+    async def test_a_connection_that_is_never_established_ends_in_the_connect_timeout(self):
         host = SocketHost()
-        caller = await self.play(host)
+        caller = await self.start_proxy(host)
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         address = full.getsockname()
-        blockers = [socket.socket() for _ in range(4)]  # its backlog takes no more
-        for blocker in blockers:
-            blocker.setblocking(False)
-            blocker.connect_ex(address)
+        fillers = [socket.socket() for _ in range(4)]  # fill its backlog
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(address)
         self.discovery.tell(
             2, host.line("s-full", addr=f"127.0.0.1:{address[1]}"), host.line("s-0", state="removed")
         )
-        await self.until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
         self.assertEqual(await caller.outcome(profile="submit", timeout="1.5"), 503)
-        self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])
+        self.assertEqual(self.log.failed_attempts(), [("connecting", i.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
-        for sock in (full, *blockers):
+        for sock in (full, *fillers):
             sock.close()
 
-    async def test_a_connection_reset_as_it_comes_up_tells_of_no_dead_host(self):
+    async def test_a_connection_reset_while_connecting_does_not_count_as_refused(self):
         peer = socket.create_server(("127.0.0.1", 0))
         connection = Connection.towards(peer.getsockname(), BufferPool(64, 8), Descriptors(64))
         coming = asyncio.get_running_loop().create_future()
         connection.connect(peer.getsockname(), coming.set_result)
-        taken, _ = peer.accept()
-        taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        taken.close()
+        accepted, _ = peer.accept()
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        accepted.close()
         self.assertEqual((await coming).stage, Stage.WRITING)
         peer.close()
 
-    async def test_a_hop_asked_for_too_late_ends_as_unsent(self):
-        caller = await self.play(SocketHost(SILENT))
+    async def test_an_attempt_decided_too_late_ends_as_unsent(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
         caller.ask("submit")
         await self.hosts[0].got.get()
-        (order,) = self.service.owner.transactions.values()
-        order.closed = True
-        owner = self.service.owner
-        effects = [[i.SendHop(order.number, 0, 5_000)], []]
-        with unittest.mock.patch.object(owner.policy, "handle", side_effect=effects):
-            owner.on_timer(7)
-        await self.until(self.log.hops)
-        self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
+        (transaction,) = self.service.owner.transactions.values()
+        transaction.closed = True
+        dispatcher = self.service.owner
+        effects = [[i.SendHop(transaction.number, 0, 5_000)], []]
+        with unittest.mock.patch.object(dispatcher.policy, "handle", side_effect=effects):
+            dispatcher.on_timer(7)
+        await self.wait_until(self.log.failed_attempts)
+        self.assertEqual(self.log.failed_attempts(), [("untried", i.UNSENT)])
         self.assertEqual(self.hosts[0].got.qsize(), 0)
 
     # ---- clients
 
-    async def test_a_client_that_stops_half_way_does_not_hold_its_connection(self):
-        caller = await self.play(SocketHost())
+    async def test_a_client_that_stops_within_a_request_is_disconnected(self):
+        caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.02):
             caller.writer.write(b"GET /view HT")
             self.assertEqual((await caller.answer())[0], 408)
             self.assertEqual(await caller.reader.read(), b"")
 
-    async def test_silence_from_the_start_is_closed_and_a_slow_sound_client_is_served(self):
+    async def test_a_silent_client_is_disconnected_and_a_slow_one_is_served(self):
         with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.05):
-            silent = await self.play(SocketHost())
+            silent = await self.start_proxy(SocketHost())
             self.assertEqual(await silent.reader.read(), b"")
-        slow = await self.caller()
+        slow = await self.connect()
         for part in (
             b"GET /view HTTP/1.1\r\nHo",
             b"st: s\r\nRequest-Id: 1\r",
@@ -244,64 +252,64 @@
             await asyncio.sleep(0.01)
         self.assertEqual((await slow.answer())[0], 200)
 
-    async def test_hundreds_that_connect_and_say_nothing_take_no_place_from_hosts_and_callers(self):
-        caller = await self.play(SocketHost(), sockets=16 + 24)
+    async def test_many_silent_connections_do_not_displace_hosts_or_active_clients(self):
+        caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
         self.assertEqual(await caller.outcome(), 200)
-        silent = [await self.caller() for _ in range(60)]
-        await self.until(lambda: len(self.service.clients.open_clients) == 16)
-        self.assertEqual(await silent[0].reader.read(), b"")  # the oldest of them went
-        self.assertEqual(await caller.outcome(profile="submit"), 200)  # and the one that had asked did not
+        silent = [await self.connect() for _ in range(60)]
+        await self.wait_until(lambda: len(self.service.clients.open_clients) == 16)
+        self.assertEqual(await silent[0].reader.read(), b"")  # the oldest silent one was closed
+        self.assertEqual(await caller.outcome(profile="submit"), 200)  # the active one was not
         self.assertEqual(len(self.service.pool.kept), 1)
 
-    async def test_hundreds_that_send_half_a_head_take_no_place_from_callers(self):
-        """They held every place for 2.5 s, and callers waited to be accepted (recorded day, G 0.37)."""
-        caller = await self.play(SocketHost(), sockets=16 + 24)
+    async def test_many_clients_that_stop_within_a_head_do_not_lock_others_out(self):
+        """They held all connections for 2.5 s, and others waited to be accepted; the score G fell to 0.37."""
+        caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
         self.assertEqual(await caller.outcome(), 200)
-        drips = []
+        stalled = []
         for _ in range(40):
-            drips.append(await self.caller())
-            drips[-1].writer.write(b"GET /view HT")
-        self.assertEqual((await drips[0].answer())[0], 408)
+            stalled.append(await self.connect())
+            stalled[-1].writer.write(b"GET /view HT")
+        self.assertEqual((await stalled[0].answer())[0], 408)
         self.assertEqual(await caller.outcome(), 200)
         self.assertLessEqual(len(self.service.clients.open_clients), 16)
 
-    async def test_a_client_that_writes_slowly_outlasts_a_crowd_that_stops_half_way(self):
-        """Places ran short and the slow one went as the oldest (126 of 295 slow requests, recorded)."""
-        slow = await self.play(SocketHost(), sockets=16 + 24)
+    async def test_a_client_that_sends_slowly_outlasts_many_that_stop_within_a_head(self):
+        """Short of connections, the proxy closed slow clients as the oldest: 126 of 295 slow requests."""
+        slow = await self.start_proxy(SocketHost(), sockets=16 + 24)
         head = b"GET /view HTTP/1.1\r\nHost: s\r\nRequest-Id: slow\r\nRequest-Timeout: 1\r\n\r\n"
         slow.writer.write(head[:30])
-        await self.until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"])
-        (good,) = self.service.clients.open_clients
+        await self.wait_until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"])
+        (slow_client,) = self.service.clients.open_clients
         for _ in range(15):
-            (await self.caller()).writer.write(b"GET /view HT")
-        await self.until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"] * 16)
+            (await self.connect()).writer.write(b"GET /view HT")
+        await self.wait_until(lambda: [c.state for c in self.service.clients.open_clients] == ["coming"] * 16)
         for client in self.service.clients.open_clients:
-            if client is not good:
-                client.last_active -= 20_000  # two seconds without a byte
+            if client is not slow_client:
+                client.last_active -= 20_000  # ticks: two seconds without a byte
         for _ in range(10):
-            await self.caller()
-        await self.until(lambda: sum(c.state == "new" for c in self.service.clients.open_clients) == 10)
-        self.assertIn(good, self.service.clients.open_clients)
+            await self.connect()
+        await self.wait_until(lambda: sum(c.state == "new" for c in self.service.clients.open_clients) == 10)
+        self.assertIn(slow_client, self.service.clients.open_clients)
         slow.writer.write(head[30:])
         self.assertEqual((await slow.answer())[0], 200)
 
-    async def test_clients_that_ask_once_and_stay_leave_room_for_others(self):
-        """They held all connections that clients may have, and others could not ask (recorded, G 0.37)."""
+    async def test_idle_connections_of_clients_leave_room_for_others(self):
+        """Clients stayed connected after one request and locked others out; the score G fell to 0.37."""
         with unittest.mock.patch("basalthook.routing.clients.MAX_IDLE_S", 0.05):
-            await self.play(SocketHost(), sockets=16 + 24)
+            await self.start_proxy(SocketHost(), sockets=16 + 24)
             heads = []
             for _ in range(12):
-                stays = await self.caller()
-                stays.ask("submit")
-                heads.append((await stays.answer())[2])
+                other = await self.connect()
+                other.ask("submit")
+                heads.append((await other.answer())[2])
             self.assertNotIn("Connection: close", heads[0])
             self.assertIn("Connection: close", "".join(heads))
             self.service.descriptors.at_ease = 2
-            await self.until(lambda: len(self.service.clients.open_clients) <= 2)
+            await self.wait_until(lambda: len(self.service.clients.open_clients) <= 2)
 
-    async def test_an_id_that_is_open_is_not_opened_again(self):
-        first = await self.play(SocketHost(SILENT))
-        second = await self.caller()
+    async def test_a_request_id_that_is_open_is_rejected(self):
+        first = await self.start_proxy(SocketHost(SILENT))
+        second = await self.connect()
         with unittest.mock.patch.object(Caller, "ids", iter("777")):
             first.ask("submit")
             await self.hosts[0].got.get()
@@ -311,18 +319,18 @@
             self.assertEqual(self.hosts[0].got.qsize(), 0)
             self.assertEqual(self.service.clients.open_ids, set())
 
-    async def test_who_sends_on_and_on_can_read_the_error_and_costs_little(self):
-        caller = await self.play(SocketHost())
+    async def test_a_client_that_keeps_sending_can_read_the_error_and_costs_little(self):
+        caller = await self.start_proxy(SocketHost())
         caller.writer.write(b"POST /submit HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n\r\n")
         caller.writer.write(b"x" * 60_000_000)
         self.assertEqual((await caller.answer())[0], 413)
-        await self.until(lambda: not self.service.clients.open_clients)
-        with self.assertRaises(ConnectionError):  # closed with most of it unread
+        await self.wait_until(lambda: not self.service.clients.open_clients)
+        with self.assertRaises(ConnectionError):  # the proxy has closed with most of it unread
             await caller.writer.drain()
 
-    async def test_requests_sent_ahead_are_answered_in_order_one_at_a_time(self):
-        caller = await self.play(SocketHost())
-        self.settled(0)
+    async def test_pipelined_requests_are_answered_in_order_one_at_a_time(self):
+        caller = await self.start_proxy(SocketHost())
+        self.set_settle_time(0)
         for n in range(40):
             caller.ask("submit" if n % 3 else "view", body=b"%d" % n, key=f"k{n}")
         for _ in range(40):
@@ -330,42 +338,44 @@
         bodies = [self.hosts[0].got.get_nowait()[1] for _ in range(40)]
         self.assertEqual(bodies, [b"%d" % n for n in range(40)])
 
-    async def test_who_writes_out_of_turn_is_read_no_further_and_still_gets_its_answer(self):
-        caller = await self.play(SocketHost(SILENT))
+    async def test_a_client_that_writes_before_its_response_is_paused_and_still_gets_it(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
         caller.ask("submit")
         await self.hosts[0].got.get()
         caller.writer.write(b"x" * 3_000_000)
         (client,) = self.service.clients.open_clients
-        await self.until(lambda: client.connection.paused)
+        await self.wait_until(lambda: client.connection.paused)
         self.hosts[0].writers[0].write(OK)
         status, body, head = await caller.answer()
         self.assertEqual((status, body, "Connection: close" in head), (200, b"done", False))
-        self.assertEqual((await caller.answer())[0], 431)  # it was no request
-        await self.until(lambda: not self.service.clients.open_clients)
+        self.assertEqual((await caller.answer())[0], 431)  # the early bytes were no request
+        await self.wait_until(lambda: not self.service.clients.open_clients)
         self.assertEqual(self.hosts[0].got.qsize(), 0)
 
     async def test_a_flood_of_bad_input_does_not_flood_the_log(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         for _ in range(100):
-            caller = await self.caller()
+            caller = await self.connect()
             caller.writer.write(b"\0\r\n\r\n")
             self.assertEqual((await caller.answer())[0], 400)
             caller.writer.close()
         self.assertLessEqual(sum(line["event"] == "bad input" for line in self.log.lines), 60)
 
-    async def test_health_and_a_client_that_goes_away(self):
-        caller = await self.play(SocketHost(SILENT))
+    async def test_health_check_and_a_client_that_disconnects(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         self.assertEqual((await caller.answer())[0], 200)
         caller.ask("submit")
         await self.hosts[0].got.get()
         caller.writer.close()
-        self.assertTrue(await self.hosts[0].ended.get())  # called back, as this deployment allows it
-        await self.until(lambda: not self.service.owner.transactions)
+        self.assertTrue(
+            await self.hosts[0].ended.get()
+        )  # the attempt is cancelled, which these settings allow
+        await self.wait_until(lambda: not self.service.owner.transactions)
         self.assertEqual(self.service.owner.policy.txs, {})
 
     async def test_bad_input_gets_its_status_and_reaches_no_host(self):
-        first = await self.play(SocketHost())
+        first = await self.start_proxy(SocketHost())
         first.writer.close()
         for data, status in (
             (b"\0\r\n\r\n", 400),
@@ -374,7 +384,7 @@
             (b"POST /submit HTTP/1.1\r\nHost: s\r\nContent-Length: 70000000\r\n\r\n", 413),
             (b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n\0\r\n\r\n", 200),
         ):
-            caller = await self.caller()
+            caller = await self.connect()
             caller.writer.write(data)
             self.assertEqual((await caller.answer())[0], status, data)
             if status == 200:
@@ -383,8 +393,8 @@
             caller.writer.close()
         self.assertEqual(self.hosts[0].got.qsize(), 0)
 
-    async def test_a_client_that_asks_first_is_told_to_send_its_body(self):
-        caller = await self.play(SocketHost())
+    async def test_a_client_that_expects_100_continue_gets_it(self):
+        caller = await self.start_proxy(SocketHost())
         caller.writer.write(
             b"POST /submit HTTP/1.1\r\nHost: s\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n"
             b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"
@@ -395,104 +405,108 @@
 
     # ---- discovery
 
-    async def test_a_drain_in_the_watch_is_kept(self):
-        caller = await self.play(SocketHost(), SocketHost())
+    async def test_a_host_that_discovery_lists_as_draining_gets_nothing(self):
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
-        await self.until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
         for n in range(10):
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual((self.hosts[0].got.qsize(), self.hosts[1].got.qsize()), (0, 10))
         for version in (3, 4):
             self.discovery.tell(version)
-        # its own part of once to twice the 10 ms within which it has to ask, a quarter of that at first
+        # waits are spread from once to twice ask_within, which is 10 ms, and a quarter of that at first
         for version, waits in ((1, "[234]"), (2, "[5-9]"), (3, r"1\d"), (4, r"1\d")):
             self.assertRegex(await self.discovery.got.get(), rf"members\?index={version}&wait={waits}$")
 
-    async def test_a_list_that_is_not_sound_leaves_the_old_one_and_is_asked_for_again(self):
-        caller = await self.play(SocketHost())
+    async def test_an_invalid_list_leaves_the_old_one_in_use_and_is_requested_again(self):
+        caller = await self.start_proxy(SocketHost())
         self.discovery.news.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
         self.discovery.news.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        lines = [self.hosts[0].line(f"s-{n}", state="draining") for n in range(500)]  # many buffers long
+        lines = [
+            self.hosts[0].line(f"s-{n}", state="draining") for n in range(500)
+        ]  # longer than many buffers
         self.discovery.tell(7, *lines, full=True)
         for _ in range(4):
             self.assertIn("index=", await self.discovery.got.get())
         self.assertEqual(sum(line["event"] == "list lost" for line in self.log.lines), 2)
-        self.assertEqual(await caller.outcome(timeout="0.05"), 503)  # nobody is ready any more
+        self.assertEqual(await caller.outcome(timeout="0.05"), 503)  # no host is ready any more
 
     async def test_a_host_that_moved_is_found_at_its_new_address(self):
-        caller, moved = await self.play(SocketHost()), await self.started(SocketHost())
+        caller, moved = await self.start_proxy(SocketHost()), await self.start_server(SocketHost())
         self.discovery.tell(2, moved.line("s-0"))
-        await self.until(lambda: [line for line in self.log.lines if line["event"] == "list"])
+        await self.wait_until(lambda: [line for line in self.log.lines if line["event"] == "list"])
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual((self.hosts[0].got.qsize(), moved.got.qsize()), (0, 1))
 
-    async def test_an_error_in_the_decisions_costs_one_transaction_not_the_service(self):
-        caller = await self.play(SocketHost())
+    async def test_an_exception_in_the_policy_costs_one_transaction_not_the_service(self):
+        caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.owner.policy, "handle", side_effect=KeyError("defect")):
             self.assertEqual(await caller.outcome(timeout="0.02"), 504)
         self.assertIn(
             "RequestReceived", [line["where"] for line in self.log.lines if line["event"] == "fault"]
         )
         self.log.lines.clear()
-        self.assertEqual(await (await self.caller()).outcome(), 200)
+        self.assertEqual(await (await self.connect()).outcome(), 200)
 
-    async def test_hosts_that_are_gone_are_forgotten_once_no_hop_is_out(self):
-        roster, host = HostRegistry(), await self.started(SocketHost())
+    async def test_hosts_that_are_gone_are_forgotten_when_no_attempt_is_open(self):
+        registry, host = HostRegistry(), await self.start_server(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.apply_listing(first, False).hosts[0].host
-        roster.attempt_started(number)
-        roster.apply_listing(first._replace(lines=()), True)
-        self.assertEqual((len(roster.entries), roster.is_ready(number)), (1, False))
-        roster.attempt_finished(number)
-        self.assertEqual((roster.entries, roster.numbers_by_id), ({}, {}))
-        self.assertNotEqual(roster.apply_listing(first, True).hosts[0].host, number)
-
-    async def test_where_only_draining_binds_a_host_left_out_stays_until_let_go_and_a_drained_one_goes(self):
-        roster, host = HostRegistry(only_draining_binds=True), await self.started(SocketHost())
+        number = registry.apply_listing(first, False).hosts[0].host
+        registry.attempt_started(number)
+        registry.apply_listing(first._replace(lines=()), True)
+        self.assertEqual((len(registry.entries), registry.is_ready(number)), (1, False))
+        registry.attempt_finished(number)
+        self.assertEqual((registry.entries, registry.numbers_by_id), ({}, {}))
+        self.assertNotEqual(registry.apply_listing(first, True).hosts[0].host, number)
+
+    async def test_where_only_draining_binds_an_unlisted_host_stays_until_dropped_and_a_drained_one_does_not(
+        self,
+    ):
+        registry, host = HostRegistry(only_draining_binds=True), await self.start_server(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.apply_listing(first, False).hosts[0].host
+        number = registry.apply_listing(first, False).hosts[0].host
         gone = first.lines[0]._replace(ready=False)
         for lines, stays in (
             ((), True),
             ((gone._replace(removed=True),), True),
             ((gone._replace(draining=True),), False),
         ):
-            roster.apply_listing(first._replace(lines=lines), True)
-            roster.drop_unheld({number})
-            self.assertEqual(roster.is_ready(number), stays)
-        roster.apply_listing(first, True)
-        roster.drop_unheld({})
-        self.assertEqual(roster.entries, {})
+            registry.apply_listing(first._replace(lines=lines), True)
+            registry.drop_unheld({number})
+            self.assertEqual(registry.is_ready(number), stays)
+        registry.apply_listing(first, True)
+        registry.drop_unheld({})
+        self.assertEqual(registry.entries, {})
 
     # ---- limits and the end
 
-    async def test_at_the_descriptor_limit_whoever_comes_is_answered(self):
-        caller = await self.play(SocketHost(), sockets=16 + 8)
+    async def test_at_the_descriptor_limit_new_clients_are_answered(self):
+        caller = await self.start_proxy(SocketHost(), sockets=16 + 8)
         self.assertEqual(await caller.outcome(), 200)
         for n in range(12):
-            other = await self.caller()  # those before stay open, until they must go
+            other = await self.connect()  # the earlier ones stay open until evicted
             self.assertEqual(await other.outcome(profile="submit", key=f"k{n}"), 200)
         self.assertLessEqual(self.service.clients.descriptors.held, 9)
 
-    async def test_what_waits_to_be_accepted_is_taken_before_the_listener_closes(self):
-        taken = []
-        listener = Listener(("127.0.0.1", 0), lambda sock: taken.append(sock) or True)
+    async def test_the_backlog_is_accepted_before_the_listener_closes(self):
+        accepted = []
+        listener = Listener(("127.0.0.1", 0), lambda sock: accepted.append(sock) or True)
         waiting = socket.create_connection(listener.address)
         listener.close()
-        self.assertEqual([sock.getpeername() for sock in taken], [waiting.getsockname()])
-        for sock in (waiting, *taken):
+        self.assertEqual([sock.getpeername() for sock in accepted], [waiting.getsockname()])
+        for sock in (waiting, *accepted):
             sock.close()
 
-    async def test_the_end_answers_what_is_in_hand_and_what_still_comes(self):
-        caller = await self.play(SocketHost(SILENT))
-        idle, late = await self.caller(), await self.caller()
+    async def test_shutdown_answers_open_and_arriving_requests(self):
+        caller = await self.start_proxy(SocketHost(SILENT))
+        idle, late = await self.connect(), await self.connect()
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         await idle.answer()
         caller.ask("submit")
         await self.hosts[0].got.get()
         end = asyncio.create_task(self.service.end(self.listener))
         self.assertEqual(await idle.reader.read(), b"")  # closed at once
-        new = await self.caller()
+        new = await self.connect()
         for client in (late, new):
             client.ask("submit", key="k2")
             await self.hosts[0].got.get()
@@ -504,7 +518,7 @@
         await end
         self.assertEqual(self.log.lines[-1], {"event": "ended", "unanswered": 0})
 
-    async def test_a_buffer_goes_back_however_its_connection_ends(self):
+    async def test_a_buffer_is_returned_after_each_read_and_when_the_connection_ends(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
@@ -512,8 +526,8 @@
         connection = Connection(ours, pool, descriptors)
         connection.follow(lambda part, late: seen.append((bytes(part), len(pool.free))), seen.append)
         theirs.send(b"x" * 100)
-        await self.until(lambda: len(seen) == 2)
+        await self.wait_until(lambda: len(seen) == 2)
         self.assertEqual(seen, [(b"x" * 64, 0), (b"x" * 36, 0)])
         theirs.close()
-        await self.until(lambda: len(seen) == 3)
+        await self.wait_until(lambda: len(seen) == 3)
         self.assertEqual((len(pool.free), descriptors.held, seen[2].stage), (1, 0, Stage.WRITTEN))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,12 +15,12 @@
 from basalthook.transport.listener import Listener
 from tests.fake import SocketHost
 from tests.loopback import Loopback
-from tests.test_incidents import play
+from tests.test_incidents import run_scenario
 
 
 class OnProcesses(unittest.TestCase):
     def test_all_rules_hold_while_accept_socket_connect_reads_and_writes_fail_by_chance(self):
-        result = play("system-calls.toml")
+        result = run_scenario("system-calls.toml")
         self.assertEqual((result.faults, result.verdict.first), ([], None))
         self.assertGreater(result.verdict.service, 0.8)
 
@@ -55,7 +55,7 @@
 class Connecting(Loopback):
     async def test_what_this_machine_lacks_for_a_moment_is_no_fault_of_the_endpoint(self):
         for code, outcome in ((errno.EADDRNOTAVAIL, "unsent"), (errno.ECONNREFUSED, "unreachable")):
-            caller = await self.play(SocketHost(), SocketHost())
+            caller = await self.start_proxy(SocketHost(), SocketHost())
             failures, real = [code], socket.socket
             endpoints = {catalogue.address(host.address) for host in self.hosts}  # not discovery
 
@@ -67,7 +67,7 @@
 
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
-            self.assertEqual((failures, [found for _, found in self.log.hops()]), ([], [outcome]))
+            self.assertEqual((failures, [found for _, found in self.log.failed_attempts()]), ([], [outcome]))
             servers = self.service.owner.policy.servers.values()
             self.assertEqual(any(server.away for server in servers), outcome == "unreachable")
             await self.stop()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock may be stepped, or be off at the start: a cold endpoint stays cold, a warm one warm."""
+"""A wall clock that is stepped, or wrong at the start, makes no cold host warm and no warm one cold."""
 
 import unittest
 from unittest.mock import patch
@@ -12,47 +12,48 @@
 HOUR = 3600 * TICKS_PER_SECOND
 
 
-class StartsOfEndpoints(unittest.TestCase):
+class StartTimesOfHosts(unittest.TestCase):
     def setUp(self):
         self.now = 10 * HOUR
-        self.roster = HostRegistry(start_times=StartTimes(lambda: self.now))
+        self.registry = HostRegistry(start_times=StartTimes(lambda: self.now))
 
-    def told(self, started, answered=True, name="s-0"):
-        """As the decisions get it; `started`: in ticks, None: long ago."""
+    def listed_start(self, started, answered=True, name="s-0"):
+        """The start time that the policy gets, in ticks; `started` is the reported one, None: long ago."""
         line = Line(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK_NS)
         listing = Listing(1, False, (line,))
-        return self.roster.apply_listing(listing, answered).hosts[0].started
+        return self.registry.apply_listing(listing, answered).hosts[0].started
 
-    def test_a_start_told_while_this_clock_is_an_hour_ahead_is_a_new_one(self):
-        self.told(None)
+    def test_a_start_reported_while_our_clock_is_an_hour_ahead_counts_as_now(self):
+        self.listed_start(None)
         self.now += 20 * TICKS_PER_SECOND
-        self.assertEqual(self.told(self.now - HOUR), self.now)
+        self.assertEqual(self.listed_start(self.now - HOUR), self.now)
 
-    def test_a_start_in_the_future_of_this_clock_is_a_new_one(self):
-        self.assertEqual(self.told(self.now + HOUR, answered=False), self.now)
+    def test_a_start_in_the_future_of_our_clock_counts_as_now(self):
+        self.assertEqual(self.listed_start(self.now + HOUR, answered=False), self.now)
 
-    def test_a_start_is_judged_once(self):
-        self.told(None)
+    def test_a_start_is_estimated_once(self):
+        self.listed_start(None)
         self.now += 20 * TICKS_PER_SECOND
         started, first = self.now - HOUR, self.now
-        self.assertEqual(self.told(started), first)
+        self.assertEqual(self.listed_start(started), first)
         self.now += 30 * TICKS_PER_SECOND
-        self.assertEqual(self.told(started), first)
+        self.assertEqual(self.listed_start(started), first)
 
-    def test_starts_that_fit_the_clock_are_taken_as_told(self):
-        self.assertEqual(self.told(self.now - HOUR, answered=False), self.now - HOUR)  # of the first list
-        for ago in (0, 3 * TICKS_PER_SECOND, 24 * TICKS_PER_SECOND):  # as late as lists may come
+    def test_plausible_starts_are_taken_as_reported(self):
+        # in the first list
+        self.assertEqual(self.listed_start(self.now - HOUR, answered=False), self.now - HOUR)
+        for ago in (0, 3 * TICKS_PER_SECOND, 24 * TICKS_PER_SECOND):  # up to the delay of lists
             self.setUp()
-            self.told(None, name="s-1")
+            self.listed_start(None, name="s-1")
             self.now += 20 * TICKS_PER_SECOND
-            self.assertEqual(self.told(self.now - ago), self.now - ago)
+            self.assertEqual(self.listed_start(self.now - ago), self.now - ago)
 
 
-class Stamps(unittest.TestCase):
-    def late(self, steps):
-        """What each read counts as late, in seconds.
+class ReceiveTimestamps(unittest.TestCase):
+    def lateness(self, steps):
+        """The lateness of each read, in seconds.
 
-        A step: real seconds passed, the wall clock's step, real seconds since the bytes were stamped.
+        Each step: seconds passed, step of the wall clock, seconds since the bytes were timestamped.
         """
         real, ahead = 100.0, 1_000.0
         with patch.object(arrival, "time") as clock:
@@ -62,17 +63,17 @@
             for passed, step, ago in steps:
                 real += passed
                 stamped_at = int((real - ago + ahead) * 1e9)
-                ahead += step  # while the bytes lie unread
+                ahead += step  # while the bytes wait to be read
                 found.append(round(reader.late(stamped_at) / 1e9, 3))
         return found
 
-    def test_a_wall_clock_that_is_set_makes_no_bytes_that_lie_unread_late(self):
+    def test_a_step_of_the_wall_clock_does_not_count_as_lateness(self):
         for step in (-5.0, -0.5, 0.5, 5.0, 3600.0):
-            self.assertEqual(self.late([(1, 0, 0.02), (1, step, 0.02), (0.5, 0, 0.02)]), [0.02, 0.0, 0.0])
-            self.assertEqual(self.late([(1, step, 0.02), (1.1, 0, 0.02)]), [0.0, 0.02])
+            self.assertEqual(self.lateness([(1, 0, 0.02), (1, step, 0.02), (0.5, 0, 0.02)]), [0.02, 0.0, 0.0])
+            self.assertEqual(self.lateness([(1, step, 0.02), (1.1, 0, 0.02)]), [0.0, 0.02])
 
-    def test_what_lay_unread_in_a_process_that_was_held_up_counts_as_late(self):
-        self.assertEqual(self.late([(0.1, 0, 0.0), (3.0, 0, 2.9), (0.1, 0.01, 0.15)]), [0.0, 2.9, 0.16])
+    def test_bytes_left_unread_while_the_process_was_stopped_count_as_late(self):
+        self.assertEqual(self.lateness([(0.1, 0, 0.0), (3.0, 0, 2.9), (0.1, 0.01, 0.15)]), [0.0, 2.9, 0.16])
 
 
 if __name__ == "__main__":
