--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -41,7 +41,7 @@
     def _forward(self) -> bool:
         """Forward what has been parsed; return whether the client can accept more."""
         data = self.parser.take_body()
-        accepted = not data or self.client.piece(data)
+        accepted = not data or self.client.write_piece(data)
         if self.ended:
             return False
         self.timers.cancel(self.timer)
@@ -73,7 +73,7 @@
             self.release(self.connection)
         else:
             self.connection.close()
-        self.client.over(whole)
+        self.client.relay_finished(whole)
 
     def stop(self) -> None:
         """Stop forwarding: the client has gone, or one side has stalled."""
@@ -81,7 +81,7 @@
             self._mark_ended()
             self.connection.close()
             if self.client is not None:
-                self.client.over(False)
+                self.client.relay_finished(False)
 
     def _mark_ended(self) -> None:
         self.ended = True
--- a/basalthook/console/admin_server.py
+++ b/basalthook/console/admin_server.py
@@ -38,7 +38,7 @@
             elif self.parser.expects_continue:
                 self.respond(admin_api.AdminResponse(417, "no body is wanted"))
         except Exception as error:  # an exception must not affect other connections
-            self.server.log("fault", where="console", error=repr(error))
+            self.server.log_event("fault", where="console", error=repr(error))
             self.drop()
 
     def respond(self, reply: admin_api.AdminResponse) -> None:
@@ -64,14 +64,14 @@
 class AdminServer:
     """Accepts admin connections; `handle(request)` returns the AdminResponse to a valid request."""
 
-    def __init__(self, handle, timers: Timers, buffers: BufferPool, urgent_fds: set[int], log) -> None:
+    def __init__(self, handle, timers: Timers, buffers: BufferPool, urgent_fds: set[int], log_event) -> None:
         """`urgent_fds`: descriptors that the event loop handles before all others."""
-        self.handle, self.timers, self.buffers, self.urgent_fds, self.log = (
+        self.handle, self.timers, self.buffers, self.urgent_fds, self.log_event = (
             handle,
             timers,
             buffers,
             urgent_fds,
-            log,
+            log_event,
         )
         # separate from the budget for clients and hosts
         self.descriptors = DescriptorBudget(RESERVED_DESCRIPTORS + 2 * MAX_CONNECTIONS)
@@ -100,7 +100,7 @@
         request = admin_api.parse_request(message)
         reply = self.handle(request) if isinstance(request, admin_api.AdminRequest) else request
         if not isinstance(request, admin_api.AdminRequest) or request.action not in admin_api.READ_ONLY:
-            self.log(
+            self.log_event(
                 "call", method=message.method, path=message.target[:200], status=reply.status, text=reply.text
             )
         return reply
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -62,13 +62,13 @@
         address: tuple[str, int],
         on_accept,
         inherited: socket.socket | None = None,
-        log=lambda event, **fields: None,
+        log_event=lambda event, **fields: None,
     ) -> None:
         """Listen at `address`, or use `inherited`: a listening socket that outlives this process.
 
         Raises OSError if the address can't be listened at.
         """
-        self.inherited, self.log = inherited is not None, log
+        self.inherited, self.log_event = inherited is not None, log_event
         self.socket = inherited if self.inherited else open_listening_socket(address)
         timestamps.enable(self.socket)
         self.address, self.on_accept = self.socket.getsockname()[:2], on_accept
@@ -102,7 +102,9 @@
 
     def _back_off(self, reason: str) -> None:
         """Pause after an error that would repeat at once: retrying without a delay would use up a core."""
-        self.log("accept failed", reason=reason, failed=self.failures, again_ms=int(self.retry_delay * 1000))
+        self.log_event(
+            "accept failed", reason=reason, failed=self.failures, again_ms=int(self.retry_delay * 1000)
+        )
         self._pause_for(self.retry_delay)
         self.retry_delay = min(MAX_RETRY_DELAY_S, 2 * self.retry_delay)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -45,8 +45,8 @@
         return head, body, whole
 
     async def test_long_responses_of_every_framing_arrive_complete_and_connections_are_reused(self):
-        caller = await self.play(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
-        self.settled(0)
+        caller = await self.start_proxy(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
+        self.set_settle_time(0)
         for _ in range(4):
             caller.ask("submit")
             head, body, whole = await self.read_response(caller)
@@ -54,7 +54,7 @@
             self.assertEqual((body == LONG, whole, "Connection" in head), (True, True, False))
         self.assertEqual(await caller.outcome(profile="submit"), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
-        self.assertEqual(self.log.hops(), [])
+        self.assertEqual(self.log.failed_attempts(), [])
 
     async def test_a_response_of_any_size_that_arrives_in_one_read_has_its_body(self):
         """A response whose streaming began and ended in one read lost its body (8 of 556 when recorded)."""
@@ -64,7 +64,7 @@
             % (size, LONG[:size])
             for size in sizes
         ]
-        caller = await self.play(SocketHost(*responses))
+        caller = await self.start_proxy(SocketHost(*responses))
         for size in sizes:
             caller.ask("submit")
             _, body, whole = await self.read_response(caller)
@@ -73,15 +73,15 @@
     async def test_a_response_that_breaks_off_is_not_taken_for_complete(self):
         """Cases: shorter than its length, the last chunk missing, a malformed chunk."""
         chunks = CHUNKED[:-12]
-        caller = await self.play(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
+        caller = await self.start_proxy(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
         for _ in range(3):
             caller.ask("submit")
             _, _, whole = await self.read_response(caller)
             self.assertFalse(whole)
-            caller = await self.caller()
+            caller = await self.connect()
 
     async def test_a_client_that_does_not_read_stalls_only_its_host_and_is_closed(self):
-        first, second = await self.play(SocketHost(SILENT), SocketHost(SILENT)), await self.caller()
+        first, second = await self.start_proxy(SocketHost(SILENT), SocketHost(SILENT)), await self.connect()
         first.ask("submit")
         await asyncio.wait(
             [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
@@ -93,11 +93,11 @@
             for host in self.hosts:
                 host.ways = [OK]
             self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
-            await asyncio.wait_for(self.until(lambda: len(self.service.clients.open) == 1), 10)
-        self.assertEqual(len(self.service.owner.orders), 0)
+            await asyncio.wait_for(self.wait_until(lambda: len(self.service.clients.open_clients) == 1), 10)
+        self.assertEqual(len(self.service.owner.transactions), 0)
 
     async def test_a_client_that_disconnects_ends_its_hosts_connection(self):
-        caller = await self.play(SocketHost(SIZED[:-1000]))
+        caller = await self.start_proxy(SocketHost(SIZED[:-1000]))
         caller.ask("submit")
         await caller.reader.readuntil(b"\r\n\r\n")
         await caller.stop()
@@ -105,7 +105,7 @@
 
     async def test_long_request_bodies_reach_every_attempted_host_complete(self):
         refused = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-        caller = await self.play(SocketHost(refused, OK), SocketHost())
+        caller = await self.start_proxy(SocketHost(refused, OK), SocketHost())
         for n in range(6):
             chunked = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG)
             caller.writer.write(HEAD % b"b%d" % n + (chunked if n % 2 else SENT))
@@ -113,40 +113,42 @@
         bodies = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
         self.assertEqual(len(bodies), 7)  # one attempt was refused
         self.assertEqual({hashlib.sha256(body).digest() for body in bodies}, {hashlib.sha256(LONG).digest()})
-        self.assertEqual(self.service.clients.room.in_use, 0)
+        self.assertEqual(self.service.clients.body_memory.in_use, 0)
 
     async def test_bodies_wait_for_memory_in_order_and_without_any_are_rolled_back(self):
-        first, second = await self.play(SocketHost()), await self.caller()
-        self.service.clients.room.capacity = 4_000_000
+        first, second = await self.start_proxy(SocketHost()), await self.connect()
+        self.service.clients.body_memory.capacity = 4_000_000
 
         def begin(caller, n, count):
             caller.writer.write(HEAD % b"w%d" % n + SENT[:count])
 
         begin(first, 1, 100_000)
-        await self.until(lambda: self.service.clients.room.in_use)
+        await self.wait_until(lambda: self.service.clients.body_memory.in_use)
         begin(second, 2, len(SENT))
-        await self.until(lambda: self.service.clients.room.waiting)
+        await self.wait_until(lambda: self.service.clients.body_memory.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
             self.assertEqual((await caller.answer())[0], 200)
         begin(first, 3, 100_000)
-        await self.until(lambda: self.service.clients.room.in_use)
-        with unittest.mock.patch("basalthook.routing.clients.NO_ROOM", 0.02):
+        await self.wait_until(lambda: self.service.clients.body_memory.in_use)
+        with unittest.mock.patch("basalthook.routing.clients.MEMORY_TIMEOUT_S", 0.02):
             begin(second, 4, 100_000)
             self.assertEqual((await second.answer())[0], 503)
         await first.stop()
-        await self.until(lambda: not self.service.clients.room.in_use)
+        await self.wait_until(lambda: not self.service.clients.body_memory.in_use)
 
     async def test_memory_of_a_body_that_admission_control_rejects_is_released(self):
-        caller = await self.play(SocketHost())
-        with unittest.mock.patch.object(self.service.clients.door, "admit", return_value=False):
+        caller = await self.start_proxy(SocketHost())
+        with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
             self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.service.clients.room.in_use, len(self.service.clients.open)), (0, 1))
+        self.assertEqual(
+            (self.service.clients.body_memory.in_use, len(self.service.clients.open_clients)), (0, 1)
+        )
 
     async def test_a_slow_body_is_accepted_and_one_that_stops_is_not(self):
-        with unittest.mock.patch("basalthook.routing.clients.STALLED", 0.2):
-            caller = await self.play(SocketHost())
+        with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.2):
+            caller = await self.start_proxy(SocketHost())
             caller.writer.write(HEAD % b"s1" + b"Content-Length: 375000\r\n\r\n")
             for at in range(0, 375_000, 37_500):
                 caller.writer.write(LONG[at : at + 37_500])
@@ -154,7 +156,7 @@
             self.assertEqual((await caller.answer())[0], 200)
             caller.writer.write(HEAD % b"s2" + SENT[:200_000])
             self.assertEqual((await caller.answer())[0], 408)
-        self.assertEqual(self.service.clients.room.in_use, 0)
+        self.assertEqual(self.service.clients.body_memory.in_use, 0)
 
 
 class StreamedBodies(unittest.TestCase):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,14 +11,14 @@
 
 from basalthook.console.admin_api import AdminRequest
 from basalthook.policy import interface
-from basalthook.routing.orders import Orders
+from basalthook.routing.overrides import OperatorOverrides
 from tests.fake import OK, SILENT, Caller, SocketHost
 from tests.loopback import Loopback
 
 
 class Console(Loopback):
-    async def play(self, *hosts, **settings):
-        caller = await super().play(*hosts, console="127.0.0.1:0", **settings)
+    async def start_proxy(self, *hosts, **settings):
+        caller = await super().start_proxy(*hosts, console="127.0.0.1:0", **settings)
         self.addCleanup(self.service.console.close)
         return caller
 
@@ -31,12 +31,12 @@
         return status, body, head
 
     async def health(self):
-        caller = await self.caller()
+        caller = await self.connect()
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         return (await caller.answer())[0]
 
     async def test_every_request_is_answered_at_once_and_none_is_a_fault(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         long = b"GET /-/ready HTTP/1.1\r\nHost: c\r\nX: " + b"x" * 20_000
         for method, path, data, status in (
             ("GET", "/-/ready", None, 200),
@@ -64,19 +64,19 @@
         self.assertIn("/-/hosts/s%2D0/disable", logged_paths)
 
     async def test_connections_without_a_complete_request_block_no_other(self):
-        await self.play(SocketHost())
+        await self.start_proxy(SocketHost())
         slow = [await Caller().to(self.service.console.address) for _ in range(20)]
         for connection in slow:
             connection.writer.write(b"PUT /-/dr")
-        await self.until(lambda: len(self.service.callers.connections) == 12)
+        await self.wait_until(lambda: len(self.service.callers.connections) == 12)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
         for connection in slow:
             self.assertEqual(await asyncio.wait_for(connection.reader.read(), 5), b"")
             await connection.stop()
-        await asyncio.wait_for(self.until(lambda: not self.service.callers.descriptors.in_use), 5)
+        await asyncio.wait_for(self.wait_until(lambda: not self.service.callers.descriptors.in_use), 5)
 
     async def test_a_disabled_host_gets_nothing_until_it_is_enabled_whatever_the_list_says(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         first, second = self.hosts
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         lists = (
@@ -88,7 +88,7 @@
         )
         for version, lines in enumerate(lists, 2):
             self.discovery.tell(version, *lines, second.line("s-1"), full=not lines)
-            await self.until(lambda v=version: self.service.watch.version == v)
+            await self.wait_until(lambda v=version: self.service.watch.version == v)
             for n in range(6):
                 self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual(first.got.qsize(), 0)
@@ -96,14 +96,14 @@
         self.assertEqual((row["id"], row["out"], row["ready"]), ("s-0", True, False))
 
     async def test_an_enabled_host_is_used_and_counts_as_cold_from_then_on(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         for _ in range(2):  # disabled twice, enabled once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.owner.proxy.hosts.values() if s.entry.started_at)
+        server = next(s for s in self.service.owner.policy.hosts.values() if s.entry.started_at)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
-        await self.until(lambda: self.service.watch.version == 2)
+        await self.wait_until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
@@ -114,12 +114,12 @@
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
 
     async def test_nothing_is_sent_to_a_host_disabled_while_its_connection_was_established(self):
-        caller = await self.play(SocketHost())
+        caller = await self.start_proxy(SocketHost())
         open_connection = self.service.pool.open_connection
 
         def disabled_meanwhile(address, on_connected):
             def connected(failure):
-                self.service.staff.carry_out(AdminRequest("disable", "s-0"))
+                self.service.staff.handle(AdminRequest("disable", "s-0"))
                 on_connected(failure)
 
             return open_connection(address, connected)
@@ -127,32 +127,37 @@
         self.service.pool.open_connection = disabled_meanwhile
         caller.ask("submit", timeout="0.3")
         self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", interface.UNSENT)], 0))
+        self.assertEqual(
+            (self.log.failed_attempts(), self.hosts[0].got.qsize()), ([("untried", interface.UNSENT)], 0)
+        )
 
     async def test_with_all_hosts_disabled_transactions_are_rolled_back(self):
-        caller = await self.play(SocketHost(), SocketHost())
+        caller = await self.start_proxy(SocketHost(), SocketHost())
         for host in ("s-0", "s-1"):
             await self.call("PUT", f"/-/hosts/{host}/disable")
         self.assertEqual(await caller.outcome(timeout="0.2"), 503)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
 
     async def test_a_drain_closes_client_connections_and_interrupts_no_request(self):
-        idle, busy = await self.play(SocketHost(SILENT)), await self.caller()
+        idle, busy = await self.start_proxy(SocketHost(SILENT)), await self.connect()
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # no effect without a drain
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
         await idle.answer()
         busy.ask("submit")
         await self.hosts[0].got.get()
-        silent = await self.caller()
+        silent = await self.connect()
         with unittest.mock.patch.multiple(
-            "basalthook.routing.clients", LEAVE_IDLE=0.02, LEAVE_NEW=0.05, LOOK_AWAY=0.02
+            "basalthook.routing.clients",
+            DRAIN_IDLE_DELAY_S=0.02,
+            DRAIN_NEW_DELAY_S=0.05,
+            DRAIN_SWEEP_INTERVAL_S=0.02,
         ):
             for _ in range(2):  # a second drain has no effect
                 self.assertEqual((await self.call("PUT", "/-/drain"))[0], 200)
             self.assertEqual(await self.health(), 503)
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual(await silent.reader.read(), b"")
-        late = await self.caller()  # new clients may still connect for a moment
+        late = await self.connect()  # new clients may still connect for a moment
         late.ask("submit", key="k2")
         await self.hosts[0].got.get()
         for writer in self.hosts[0].writers:
@@ -163,7 +168,7 @@
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)
         self.assertEqual(await self.health(), 200)
         self.hosts[0].ways = [OK]
-        again = await self.caller()
+        again = await self.connect()
         again.ask()
         status, _, head = await again.answer()
         self.assertEqual((status, "Connection: close" in head), (200, False))
@@ -177,14 +182,16 @@
     @given(ORDERS, ORDERS)
     def test_two_sets_merge_to_the_same_in_either_order_and_repeatedly(self, mine, theirs):
         def merged(changes):
-            orders = Orders()
+            orders = OperatorOverrides()
             for host, now, out in changes:
-                orders.tell_drain(now, out) if host is None else orders.tell(host, now, out)
+                orders.set_drained(now, out) if host is None else orders.set_disabled(host, now, out)
             return orders
 
         one, other = merged(mine), merged(theirs)
-        one.join(merged(theirs))
-        other.join(merged(mine))
-        self.assertEqual(one.plain(), other.plain())
-        self.assertEqual(one.join(merged(mine)), set())
-        self.assertEqual(Orders.read(json.loads(json.dumps(one.plain()))).plain(), one.plain())
+        one.merge(merged(theirs))
+        other.merge(merged(mine))
+        self.assertEqual(one.to_dict(), other.to_dict())
+        self.assertEqual(one.merge(merged(mine)), set())
+        self.assertEqual(
+            OperatorOverrides.from_dict(json.loads(json.dumps(one.to_dict()))).to_dict(), one.to_dict()
+        )
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -193,16 +193,18 @@
         async def main():
             started = [await host.start() for host in hosts]
             discovery = await SocketDiscovery().start()
-            said = unittest.mock.Mock(say=lambda event, **fields: log.append({"event": event, **fields}))
+            said = unittest.mock.Mock(
+                log_event=lambda event, **fields: log.append({"event": event, **fields})
+            )
             service = Service(decode(start_up(started, discovery, **told), {}), said, None, turns)
             listener = service.begin()
             try:
                 await asyncio.wait_for(story(service, listener.address), 20)
             finally:
                 listener.close()
-                for client in list(service.clients.open):
+                for client in list(service.clients.open_clients):
                     client.close()
-                service.watch.end()
+                service.watch.stop()
                 service.pool.close()
                 service.timers.close()
                 for peer in (*started, discovery):
@@ -223,9 +225,9 @@
             host.writers[0].write(OK)
             time.sleep(0.3)
             self.assertEqual((await caller.answer())[0], 200)
-            (server,) = service.owner.proxy.hosts.values()
+            (server,) = service.owner.policy.hosts.values()
             self.assertLess(server.slowdown, 2.0)
-            self.assertLess(service.owner.proxy.latency[1].mean, 1_000)
+            self.assertLess(service.owner.policy.latency[1].mean, 1_000)
             await caller.stop()
 
         self.assertEqual([line for line in self.play(story, host) if line["event"] == "hop"], [])
@@ -242,7 +244,7 @@
             answers = [await caller.answer() for caller in callers]
             self.assertEqual({status for status, _, _ in answers}, {503})
             self.assertTrue(all("Retry-After" in head for _, _, head in answers))
-            self.assertEqual((host.got.qsize(), service.clients.ids), (1, set()))
+            self.assertEqual((host.got.qsize(), service.clients.open_ids), (1, set()))
             self.assertEqual(await callers[0].outcome(), 200)
             for caller in callers:
                 await caller.stop()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,12 +15,12 @@
 from basalthook.transport.listener import Listener
 from tests.fake import SocketHost
 from tests.loopback import Loopback
-from tests.test_incidents import play
+from tests.test_incidents import run_scenario
 
 
 class OnProcesses(unittest.TestCase):
     def test_all_rules_hold_while_accept_socket_connect_reads_and_writes_fail_at_random(self):
-        result = play("system-calls.toml")
+        result = run_scenario("system-calls.toml")
         self.assertEqual((result.faults, result.verdict.first), ([], None))
         self.assertGreater(result.verdict.service, 0.8)
 
@@ -55,7 +55,7 @@
 class Connecting(Loopback):
     async def test_a_temporary_lack_of_local_resources_is_no_fault_of_the_host(self):
         for code, outcome in ((errno.EADDRNOTAVAIL, "unsent"), (errno.ECONNREFUSED, "unreachable")):
-            caller = await self.play(SocketHost(), SocketHost())
+            caller = await self.start_proxy(SocketHost(), SocketHost())
             failures, real = [code], socket.socket
             # connections to discovery do not fail
             endpoints = {catalogue.parse_address(host.address) for host in self.hosts}
@@ -68,8 +68,8 @@
 
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
-            self.assertEqual((failures, [found for _, found in self.log.hops()]), ([], [outcome]))
-            servers = self.service.owner.proxy.hosts.values()
+            self.assertEqual((failures, [found for _, found in self.log.failed_attempts()]), ([], [outcome]))
+            servers = self.service.owner.policy.hosts.values()
             self.assertEqual(any(host.excluded_until for host in servers), outcome == "unreachable")
             await self.stop()
 
