--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -97,7 +97,7 @@
         if known is None:
             return
         try:
-            fitted = knowledge.taken_over(
+            fitted = knowledge.restore_state(
                 self.owner.proxy, known, self.roster.numbers, self.profiles, self.clock.now(), self.fade
             )
         except SOUND as fault:
@@ -217,7 +217,8 @@
             self.neighbours.known,
             {
                 "list": {"version": self.watch.version, "lines": lines},
-                "known": knowledge.told(self.owner.proxy, ids, self.profiles) | {"at": self.clock.now()},
+                "known": knowledge.export_state(self.owner.proxy, ids, self.profiles)
+                | {"at": self.clock.now()},
             },
         )
         if self.writer.wrong:
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -17,7 +17,7 @@
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol.catalogue import Line
-from ..recovery.following import Asking, Following
+from ..recovery.following import DiscoverySchedule, PollingPolicy
 from . import overrun
 from .faults import ON_PROCESSES, ClockFault, LongWay, Maintain
 from .links import Links
@@ -82,7 +82,7 @@
         mind = Counting(proxy)
         if self.talking is not None:
             mind = self.talking.start(n, proxy, agreed.zone, first)
-        self.minds[n] = Asking(Following(agreed, proxy.chance), mind)
+        self.minds[n] = PollingPolicy(DiscoverySchedule(agreed, proxy.chance), mind)
         self.carry_out(n, self.minds[n].begin())
         listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
         self.tell(n, i.HostsListed(tuple(map(self.line, listed)), True, False))
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -10,8 +10,8 @@
 from ..handover.handover import Handover, Here
 from ..handover.inherited import NotOurs, listening
 from ..handover.neighbours import Neighbours
-from ..recovery.door import Door
-from ..recovery.following import SILENT, Following
+from ..recovery.door import AdmissionControl
+from ..recovery.following import SILENCE_TIMEOUT, DiscoverySchedule
 from ..routing.attempts import Attempts
 from ..routing.clients import IDLE, NEW, Clients
 from ..routing.clock import TICKS, Clock
@@ -66,10 +66,10 @@
         urgent: set[int] = set()
         if turns:
             turns.first, turns.urgent = descriptors.outgoing, urgent
-        door = Door(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
+        door = AdmissionControl(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
         self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
         self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.say)
-        following = Following(told.agreed, self.owner.proxy.chance)
+        following = DiscoverySchedule(told.agreed, self.owner.proxy.chance)
         self.watch = Watch(
             told.discovery, told.known.version, following, self.owner, buffers, descriptors, timers, log.say
         )
@@ -198,7 +198,7 @@
             self.say_ready()
         else:  # guards against hosts that left before this process began: their news counts already
             self.watch.on_contact = self.say_ready
-            self.timers.set(SILENT, self.say_ready)
+            self.timers.set(SILENCE_TIMEOUT, self.say_ready)
         return listener
 
     def say_ready(self) -> None:
--- a/basalthook/recovery/__init__.py
+++ b/basalthook/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Rules beside the decisions for when things go wrong at large; pure, no I/O, no clock."""
+"""Rules for overload, failures of discovery and restarts. Pure: no I/O, no clock."""
--- a/basalthook/recovery/following.py
+++ b/basalthook/recovery/following.py
@@ -1,174 +1,209 @@
-"""Following discovery's list: when to call, what to ask first, when a watch is taken for silent, and how
-often to try again. Pure: waits go out, nothing is waited for here.
-
-Whatever discovery has to tell binds at a stated time, whether or not it arrived, so each wait below is a part
-of what is left then. Names are those of `Agreement`; L is the longest grace for silence, `SILENT` + `grace`:
-
-    a call's wait               ask_within x (1 to 2), each proxy its own part: the fleet's calls never
-                                fall together again after a change that answers them all at once. Of a
-                                new process, and after trouble: `WAIT_AFTER`, ask_within / 4 at most,
-                                doubled by each answer
-    silent                      no answer L / 5 past a call's wait, or after a connection was begun
-    beside it, not in its place another connection asks what has changed since, at once (a wait of 0); a third
-                                after 1/5 more, then one each 2/5 more, `BESIDE_MOST` at a time. The first
-                                answer of any counts
-    one fails, others are out   another after grace / 8, / 4, / 2, as news may have been lost with it, or
-                                `FLEET_PACE` for each proxy if that is longer
-    pushed, and asked at once   as at the start and after a failure: another beside it after grace / 4, or
-                                `FLEET_PACE` for each proxy if that is longer, as its news counts already
-    given up                    `GIVE_UP` past its wait. Who gives up a slow discovery sooner, and asks it
-                                anew at the end of its queue, is never answered
-    again, once all have failed, times (1/2 to 1), each proxy its own part:
-      where the news counts soon or already (a watch fell silent, discovery moved): `URGENT_FIRST`, longer by
-      half each time, up to `URGENT_MOST`, for `URGENT_TRIES`. They are counted from that event: what
-      failed before it uses none of them up
-      where the list is pushed, and at first where an open watch broke, as news may have been lost with it:
-        grace / 8, then / 4 and / 2; where discovery turns callers away, or for the latter, `FLEET_PACE` for
-        each proxy if that is longer, `RETRY_MOST` at most
-      else, and after these: ask_within / 4, `RETRY_MOST` at most. However long discovery has been away, its
-      news counts at a fixed time after it is back
+"""Schedule of calls to discovery: when to call, when a watch counts as silent, and when to retry.
+
+Pure: delays are returned, nothing here waits.
+
+A change of the host list takes effect a fixed time after discovery has it, whether or not this proxy has
+received it. So each delay below is a fraction of the time left until then. `ask_within` and `grace` stand for
+the rules `ask_within_ns` and `drain_grace_ns` of the start-up file, L for `SILENCE_TIMEOUT` + `grace`.
+
+Wait of a watch: `ask_within` times 1 to 2, at an offset of its own for each proxy. Without the offsets, a
+change that answers all proxies at once would make the whole fleet call at the same moment from then on. After
+the start and after trouble the wait is `INITIAL_WATCH_WAIT`, `ask_within` / 4 at most, and each answer
+doubles it.
+
+Silent watch: no answer L / 5 after its wait is over, or after its connection was begun. Another connection
+then asks at once (with a wait of 0) what has changed, beside the silent one and not in its place. A third
+follows after another L / 5, then one after each 2 L / 5, up to `MAX_PARALLEL_CALLS` at a time. The first
+answer of any call counts.
+
+One call failed while others have no answer yet: the failed answer may have carried a change, so another call
+is made after `grace` / 8, then / 4, then / 2, or after `FLEET_CALL_INTERVAL` times the number of proxies if
+that is longer.
+
+Pushed list, asked for at once (at the start and after a failure): the change may be in effect already, so the
+next parallel call is made after `grace` / 4, or `FLEET_CALL_INTERVAL` times the number of proxies if that is
+longer.
+
+Time-out: `CALL_TIMEOUT` after the wait of a call is over. With a shorter one a slow discovery would never
+answer, as each new call goes to the end of its queue.
+
+Retry once all calls have failed; each delay is multiplied by 1/2 to 1, by the proxy's own offset:
+- Urgent, when the change takes effect soon or has already (a watch fell silent, discovery moved):
+  `URGENT_INITIAL_DELAY`, growing by half each time up to `URGENT_MAX_DELAY`, for `URGENT_RETRIES` attempts.
+  These are counted from that event; failures before it use up none of them.
+- Pushed list, and for a few retries also an open watch that broke, as its answer may have carried a change:
+  `grace` / 8, then / 4, then / 2. Where discovery rejects callers, and always for a broken watch,
+  `FLEET_CALL_INTERVAL` times the number of proxies if that is longer, `MAX_RETRY_DELAY` at most.
+- Otherwise: `ask_within` / 4, `MAX_RETRY_DELAY` at most, because changes take effect a fixed time after
+  discovery is back, however long it has been away.
 """
 
 from random import Random
 
 from ..policy import interface as i
 
-SILENT = 20_000  # tenths of a millisecond past a call's wait: by then its news counts as told
-WAIT_MOST = 600_000  # discovery waits no longer: a longer one would be taken for silent too late
-FIRST_MOST = 35_000  # until the first call of a new process: a second one must fit in 6 s
-WAIT_AFTER = 20_000  # the first wait of a process, or after a failure or silence; each answer doubles it, ...
-PARTS_OF_ASKING = 4  # of ask_within, for that first wait: a change may count so long after it was made
-WAITS_GROW = 5  # ... so often at most: news of the call after a broken one counts sooner
-PARTS = 5  # of what is left until the grace is over; calls beside begin after 1, 2 and 4 of them
-PUSHED_PARTS = 4  # of the grace; a call for pushed news that is there already gets another after one
-BESIDE_MOST = 6  # calls out at a time
-GIVE_UP = 50_000  # past a call's wait; news counts 6 s after discovery had it, answered or not
-RETRY_MOST = 20_000  # tenths of a millisecond: what discovery has counts as told 6 s after it is back
-SOON_TRIES = 3  # after an answer: within the grace altogether
-FLEET_PACE = 100  # between two calls of all proxies, while they are turned away
-URGENT_FIRST = 2_000  # the first wait after a silence, or at a new address
-URGENT_MOST = 10_000  # the longest after a silence, or at a new address
-URGENT_TRIES = 8  # after that the news has counted for a while
-URGENT_GROWTH = 1.5  # of each wait against the one before: too many callers must thin out
-LEAST = 200  # no shorter wait between two tries
-MARK = 0  # of the timer to ask; the decisions' own are above it
-
-
-class Following:
+# Times are in ticks of 0.1 ms.
+SILENCE_TIMEOUT = 20_000  # after the wait of a call; from then on its changes count as received
+MAX_WATCH_WAIT = 600_000  # discovery holds a watch no longer; a longer wait would detect silence too late
+MAX_INITIAL_DELAY = 35_000  # before the first call of a new process: a second one must fit within 6 s
+INITIAL_WATCH_WAIT = 20_000  # after the start, a failure or silence; each answer doubles it, ...
+INITIAL_WAIT_DIVISOR = 4  # of ask_within; bounds the initial wait, as a change may take effect that soon
+MAX_WAIT_DOUBLINGS = 5  # ... this often: after a failed call changes take effect sooner than usual
+HEDGE_PARTS = 5  # of the time until the grace is over; parallel calls begin after 1, 2 and 4 parts
+PUSHED_HEDGE_DIVISOR = 4  # of the grace, until a call for a pushed change gets a parallel one
+MAX_PARALLEL_CALLS = 6
+CALL_TIMEOUT = 50_000  # after the wait of a call; a change takes effect 6 s after discovery has it
+MAX_RETRY_DELAY = 20_000  # a change takes effect 6 s after discovery is back
+GRACE_RETRIES = 3  # after an answer; together they fit within the grace
+FLEET_CALL_INTERVAL = 100  # between two calls of the whole fleet while discovery rejects callers
+URGENT_INITIAL_DELAY = 2_000
+URGENT_MAX_DELAY = 10_000
+URGENT_RETRIES = 8  # after these the change has been in effect for a while
+URGENT_BACKOFF_FACTOR = 1.5  # more than 1, so that too many callers thin out
+MIN_RETRY_DELAY = 200
+POLL_TIMER_MARK = 0  # of the timer for a poll; marks of the policy's own timers are greater
+
+
+class DiscoverySchedule:
+    """Delays of calls to discovery, in ticks of 0.1 ms; see the module's description."""
+
     def __init__(self, settings: i.Agreement, random: Random) -> None:
         self.settings, self.random = settings, random
         self.pushed = not settings.list_on_request
         self.failures = 0  # since the last answer
-        self.answers: int | None = None  # since the start or trouble; None: not begun
-        self.urgent_tries = 0  # left since a watch fell silent, or discovery moved
+        self.recent_answers: int | None = None  # since the start or the last trouble; None: not started
+        self.urgent_retries_left = 0  # of those granted when a watch fell silent or discovery moved
 
-    def part(self) -> float:
-        """This proxy's own part of a span that the fleet shares, from 0 up to 1."""
+    def fleet_offset(self) -> float:
+        """This proxy's offset within an interval that the fleet shares, from 0 up to 1."""
         return (self.settings.position % self.settings.proxies + self.random.random()) / self.settings.proxies
 
-    def began(self) -> None:
-        """A new process: nothing is known of how discovery does."""
-        self.answers = 0
+    def on_start(self) -> None:
+        """A new process started; the state of discovery is unknown."""
+        self.recent_answers = 0
 
-    def first_delay(self) -> int:
-        """Before the first call: pushed news counts from the first moment on."""
-        return 0 if self.pushed else int(min(self.settings.ask_within / 2, FIRST_MOST) * self.part())
+    def initial_delay(self) -> int:
+        """Ticks until the first call; none for a pushed list, whose changes take effect at once."""
+        return (
+            0
+            if self.pushed
+            else int(min(self.settings.ask_within / 2, MAX_INITIAL_DELAY) * self.fleet_offset())
+        )
 
     def watch_wait(self) -> int:
-        usual = min(WAIT_MOST, int(self.settings.ask_within * (1 + self.part())))
-        if self.answers is None:
-            return usual
-        first = min(WAIT_AFTER, self.settings.ask_within // PARTS_OF_ASKING)
-        return min(usual, int(first * 2 ** min(self.answers, WAITS_GROW) * (1 + self.part())))
-
-    def silent_after(self, calls: int, at_once: bool = False) -> int:
-        """So long after its wait, or its beginning, the newest of so many calls gets another beside it.
-
-        `at_once`: it asked for what is there already, and pushed news of that counts already.
+        """How long discovery is asked to hold the next watch open, in ticks."""
+        default = min(MAX_WATCH_WAIT, int(self.settings.ask_within * (1 + self.fleet_offset())))
+        if self.recent_answers is None:
+            return default
+        first = min(INITIAL_WATCH_WAIT, self.settings.ask_within // INITIAL_WAIT_DIVISOR)
+        return min(
+            default,
+            int(first * 2 ** min(self.recent_answers, MAX_WAIT_DOUBLINGS) * (1 + self.fleet_offset())),
+        )
+
+    def hedge_delay(self, calls: int, immediate: bool = False) -> int:
+        """Ticks until another call is made beside the newest of `calls`.
+
+        Counted from the end of its wait, or from the beginning of its connection. `immediate`: the call has
+        no wait, so it asks for pushed changes that are in effect already.
         """
-        usual = (SILENT + self.settings.grace) // PARTS * (1, 1, 2)[min(calls, 3) - 1]
-        if not (at_once and self.pushed):
-            return usual
-        return min(usual, max(self.settings.grace // PUSHED_PARTS, self.settings.proxies * FLEET_PACE))
+        default = (SILENCE_TIMEOUT + self.settings.grace) // HEDGE_PARTS * (1, 1, 2)[min(calls, 3) - 1]
+        if not (immediate and self.pushed):
+            return default
+        return min(
+            default,
+            max(self.settings.grace // PUSHED_HEDGE_DIVISOR, self.settings.proxies * FLEET_CALL_INTERVAL),
+        )
 
     @property
     def urgent(self) -> bool:
-        return self.urgent_tries > 0
+        return self.urgent_retries_left > 0
 
-    def answered(self) -> None:
-        self.failures = self.urgent_tries = 0
-        if self.answers is not None:
-            self.answers += 1
+    def on_answer(self) -> None:
+        self.failures = self.urgent_retries_left = 0
+        if self.recent_answers is not None:
+            self.recent_answers += 1
 
-    def fell_silent(self) -> None:
-        self.answers = 0
+    def on_silence(self) -> None:
+        self.recent_answers = 0
         if not self.urgent:
-            self.urgent_tries = URGENT_TRIES
+            self.urgent_retries_left = URGENT_RETRIES
 
-    def moved(self) -> None:
-        """Discovery is at another address: nothing is known of how that one does."""
-        self.failures, self.urgent_tries, self.answers = 0, URGENT_TRIES, 0
+    def on_move(self) -> None:
+        """Discovery has another address, where its state is unknown."""
+        self.failures, self.urgent_retries_left, self.recent_answers = 0, URGENT_RETRIES, 0
 
-    def retry_delay(self, turned_away: bool) -> int:
-        """Ticks until the next try, as all calls have failed.
+    def retry_delay(self, overloaded: bool) -> int:
+        """Ticks until the next call once all calls have failed.
 
-        `turned_away`: discovery lives, and has too many callers.
+        `overloaded`: discovery is up and rejects calls because it has too many callers.
         """
-        self.failures, self.answers = self.failures + 1, 0
-        part = 0.5 + self.part() / 2
+        self.failures, self.recent_answers = self.failures + 1, 0
+        jitter = 0.5 + self.fleet_offset() / 2
         if self.urgent:
-            made = URGENT_TRIES - self.urgent_tries
-            self.urgent_tries -= 1
-            return int(min(URGENT_FIRST * URGENT_GROWTH**made, URGENT_MOST) * part)
-        if self.pushed or self.failures <= SOON_TRIES and not turned_away:
-            return max(LEAST, int(max(self._soon(self.failures), self._crowd(turned_away)) * part))
-        return int(min(self.settings.ask_within / 4, RETRY_MOST) * part)
-
-    def beside_delay(self, others: int, failed: int, turned_away: bool) -> int:
-        """Ticks until another call beside `others` that have no answer yet, as one has failed.
-
-        `failed`: calls since the last answer; `turned_away`: as for `retry_delay`.
+            retries_made = URGENT_RETRIES - self.urgent_retries_left
+            self.urgent_retries_left -= 1
+            return int(
+                min(URGENT_INITIAL_DELAY * URGENT_BACKOFF_FACTOR**retries_made, URGENT_MAX_DELAY) * jitter
+            )
+        if self.pushed or self.failures <= GRACE_RETRIES and not overloaded:
+            return max(
+                MIN_RETRY_DELAY,
+                int(max(self._grace_backoff(self.failures), self._fleet_pacing(overloaded)) * jitter),
+            )
+        return int(min(self.settings.ask_within / 4, MAX_RETRY_DELAY) * jitter)
+
+    def hedge_delay_after_failure(self, others: int, failed: int, overloaded: bool) -> int:
+        """Ticks until the next call once one has failed while `others` have no answer yet.
+
+        `failed`: calls failed since the last answer; `overloaded`: as for `retry_delay`.
         """
-        usual = self.silent_after(others)
-        if turned_away or failed > SOON_TRIES:
-            return usual
-        soon = max(self._soon(failed), self._crowd(turned_away)) * (0.5 + self.part() / 2)
-        return min(usual, max(LEAST, int(soon)))
-
-    def _soon(self, failures: int) -> float:
-        """Within the grace, as news may have been in an answer that was lost, which counts as told."""
-        return self.settings.grace / 2 ** max(1, SOON_TRIES + 1 - failures)
-
-    def _crowd(self, turned_away: bool) -> float:
-        """By the size of the fleet: all its proxies call again at once where discovery has reset them all."""
-        if self.pushed and not turned_away:
+        default = self.hedge_delay(others)
+        if overloaded or failed > GRACE_RETRIES:
+            return default
+        soon = max(self._grace_backoff(failed), self._fleet_pacing(overloaded)) * (
+            0.5 + self.fleet_offset() / 2
+        )
+        return min(default, max(MIN_RETRY_DELAY, int(soon)))
+
+    def _grace_backoff(self, failures: int) -> float:
+        """Delay within the grace: the lost answer may have carried a change, which counts as received."""
+        return self.settings.grace / 2 ** max(1, GRACE_RETRIES + 1 - failures)
+
+    def _fleet_pacing(self, overloaded: bool) -> float:
+        """Delay by the size of the fleet: one that resets all connections is called by all at once."""
+        if self.pushed and not overloaded:
             return 0.0
-        return min(RETRY_MOST, self.settings.proxies * FLEET_PACE)
+        return min(MAX_RETRY_DELAY, self.settings.proxies * FLEET_CALL_INTERVAL)
+
 
+class PollingPolicy:
+    """The schedule for protocols with one message to ask for the list and one for its failure.
 
-class Asking:
-    """The same where a protocol has one word for a watch, and one for its end: beside the decisions, which it
-    hands on all else to."""
+    It stands in front of the decision policy and forwards all other events to it.
+    """
 
-    def __init__(self, following: Following, policy) -> None:
-        self.following, self.policy = following, policy
-        self.call_due = False  # while a timer of ours is to ask; what is pushed comes unasked
+    def __init__(self, schedule: DiscoverySchedule, policy) -> None:
+        self.schedule, self.policy = schedule, policy
+        self.poll_due = False  # whether the poll timer is set; a pushed list is not polled
 
     def begin(self) -> list:
-        return [] if self.following.pushed else self.ask(self.following.first_delay())
+        return [] if self.schedule.pushed else self.schedule_poll(self.schedule.initial_delay())
 
-    def ask(self, wait: int) -> list:
-        self.call_due = True
-        return [i.SetTimer(wait, MARK)]
+    def schedule_poll(self, wait: int) -> list:
+        self.poll_due = True
+        return [i.SetTimer(wait, POLL_TIMER_MARK)]
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
         kind = type(event)
-        if kind is i.ListFailed:  # it may also mean that the watch broke
-            return [] if self.following.pushed else self.ask(self.following.retry_delay(turned_away=True))
-        if kind is i.TimerDue and event.mark == MARK:
-            call_due, self.call_due = self.call_due, False
-            return [i.WatchList()] if call_due else []
+        if kind is i.ListFailed:  # also sent when the watch broke
+            return (
+                [] if self.schedule.pushed else self.schedule_poll(self.schedule.retry_delay(overloaded=True))
+            )
+        if kind is i.TimerDue and event.mark == POLL_TIMER_MARK:
+            poll_due, self.poll_due = self.poll_due, False
+            return [i.WatchList()] if poll_due else []
         if kind is i.HostsListed and event.answered:
-            self.call_due = False
-            self.following.answered()
+            self.poll_due = False
+            self.schedule.on_answer()
         return self.policy.handle(now, event, seen)
--- a/basalthook/recovery/knowledge.py
+++ b/basalthook/recovery/knowledge.py
@@ -1,91 +1,96 @@
-"""What the decisions know, as plain values, and back: an old process leaves it to its successor. Pure.
+"""Exports the state of the decision policy as plain values and restores it in a successor process. Pure.
 
-Times in it are those of the decisions' clock, which both processes read. What is for a while (bans, backoffs,
-the cold slice) goes on to its end; what is a judgement of the present (how crowded hosts are) fades by half
-for each `fade` that has passed since. A host that has started anew is known by its list line alone.
+Times are those of the policy's clock, which both processes read. State with an end (bans, back-offs, the
+limited share of a cold host) is kept until that end. Estimates of the present load are halved for each
+`half_life` that has passed since the export. Of a host that was restarted meanwhile nothing is restored.
 """
 
 from ..policy.interface import HostsListed
 from ..policy.measure import Window
 
-WHOLE = ("quiet_mix", "usual_rate", "cores", "unread")  # as they were
-OF_LATENCY = ("mean", "deviation", "quiet", "level")
-OF_SERVER = ("size", "proven", "throttles", "failures", "heard", "passed", "erring")
-WINDOWS = ("sent", "committed")
+# Names of stored fields.
+PROXY_FIELDS = ("quiet_mix", "usual_rate", "cores", "unread")  # restored unchanged
+LATENCY_FIELDS = ("mean", "deviation", "quiet", "level")
+HOST_FIELDS = ("size", "proven", "throttles", "failures", "heard", "passed", "erring")
+WINDOW_FIELDS = ("sent", "committed")
 
 
-def told(proxy, ids: dict[int, str], profiles: list[str]) -> dict:
-    """`ids`: hosts' ids by number; `profiles`: names by index. Of hosts with no id nothing is told."""
+def export_state(proxy, ids: dict[int, str], profiles: list[str]) -> dict:
+    """The state as JSON values.
+
+    `ids`: host ids by number; hosts without one are left out. `profiles`: names by index.
+    """
     return {
         "at": proxy.now,
         "born": proxy.born,
         "strain": proxy.strain,
         "sent": list(proxy.sent.times),
-        **{name: getattr(proxy, name) for name in WHOLE},
+        **{name: getattr(proxy, name) for name in PROXY_FIELDS},
         "latency": {
-            name: [getattr(known, field) for field in OF_LATENCY]
-            for name, known in zip(profiles, proxy.latency, strict=True)
+            name: [getattr(latency, field) for field in LATENCY_FIELDS]
+            for name, latency in zip(profiles, proxy.latency, strict=True)
         },
         "hosts": {
-            ids[number]: server_told(server, profiles)
-            for number, server in proxy.servers.items()
-            if number in ids and server.line.ready
+            ids[number]: export_host(host, profiles)
+            for number, host in proxy.servers.items()
+            if number in ids and host.line.ready
         },
     }
 
 
-def server_told(server, profiles: list[str]) -> dict:
+def export_host(host, profiles: list[str]) -> dict:
     return {
-        **{name: getattr(server, name) for name in OF_SERVER},
-        **{name: list(getattr(server, name).times) for name in WINDOWS},
-        "started": server.line.started,
-        "fresh_from": server.fresh_from,
-        "strain": server.strain,
-        "away": {reason: until for reason, until in server.away.items() if isinstance(reason, str)},
-        "away_for": {
-            profiles[kind]: until for kind, until in server.away.items() if not isinstance(kind, str)
-        },
+        **{name: getattr(host, name) for name in HOST_FIELDS},
+        **{name: list(getattr(host, name).times) for name in WINDOW_FIELDS},
+        "started": host.line.started,
+        "fresh_from": host.fresh_from,
+        "strain": host.strain,
+        "away": {reason: until for reason, until in host.away.items() if isinstance(reason, str)},
+        "away_for": {profiles[kind]: until for kind, until in host.away.items() if not isinstance(kind, str)},
     }
 
 
-def taken_over(proxy, known: dict, numbers: dict[str, int], profiles: list[str], now: int, fade: int) -> int:
-    """Put it into a new proxy that has its first list; how many hosts it fitted.
+def restore_state(
+    proxy, state: dict, numbers: dict[str, int], profiles: list[str], now: int, half_life: int
+) -> int:
+    """Restores the state in a new policy object that has its first host list.
 
-    ValueError, TypeError, KeyError or AttributeError: it is not sound; the proxy may hold a part of it.
+    Returns the number of hosts restored. Invalid state raises ValueError, TypeError, KeyError or
+    AttributeError; a part of it may have been restored by then.
     """
-    left = 0.5 ** max(0.0, min(64.0, (now - int(known["at"])) / fade))
-    proxy.born = min(now, int(known["born"]))
-    proxy.strain = 1.0 + (float(known["strain"]) - 1.0) * left
-    for name in WHOLE:
-        setattr(proxy, name, max(0.0, float(known[name])))
-    proxy.sent.times.extend(times(known["sent"], now))
+    remaining = 0.5 ** max(0.0, min(64.0, (now - int(state["at"])) / half_life))
+    proxy.born = min(now, int(state["born"]))
+    proxy.strain = 1.0 + (float(state["strain"]) - 1.0) * remaining
+    for name in PROXY_FIELDS:
+        setattr(proxy, name, max(0.0, float(state[name])))
+    proxy.sent.times.extend(parse_times(state["sent"], now))
     for name, latency in zip(profiles, proxy.latency, strict=True):
-        for field, value in zip(OF_LATENCY, known["latency"].get(name, ()), strict=False):
+        for field, value in zip(LATENCY_FIELDS, state["latency"].get(name, ()), strict=False):
             setattr(latency, field, max(0.0, float(value)))
-    fitted = 0
-    for host, plain in known["hosts"].items():
-        server = proxy.servers.get(numbers.get(host, -1))
-        if server is not None and server.line.started == plain["started"]:
-            server_taken_over(server, plain, profiles, now, left)
-            fitted += 1
-    proxy.handle(now, HostsListed((), False, False))  # ranks by what it now knows
-    return fitted
+    restored = 0
+    for host_id, stored in state["hosts"].items():
+        host = proxy.servers.get(numbers.get(host_id, -1))
+        if host is not None and host.line.started == stored["started"]:
+            restore_host(host, stored, profiles, now, remaining)
+            restored += 1
+    proxy.handle(now, HostsListed((), False, False))  # recomputes the ranking from the restored state
+    return restored
 
 
-def server_taken_over(server, plain: dict, profiles: list[str], now: int, left: float) -> None:
-    for name in OF_SERVER:
-        setattr(server, name, type(getattr(server, name))(plain[name]))
-    for name in WINDOWS:
-        window: Window = getattr(server, name)
-        window.times.extend(times(plain[name], now))
-    server.fresh_from = None if plain["fresh_from"] is None else int(plain["fresh_from"])
-    server.strain = 1.0 + (float(plain["strain"]) - 1.0) * left
+def restore_host(host, stored: dict, profiles: list[str], now: int, remaining: float) -> None:
+    for name in HOST_FIELDS:
+        setattr(host, name, type(getattr(host, name))(stored[name]))
+    for name in WINDOW_FIELDS:
+        window: Window = getattr(host, name)
+        window.times.extend(parse_times(stored[name], now))
+    host.fresh_from = None if stored["fresh_from"] is None else int(stored["fresh_from"])
+    host.strain = 1.0 + (float(stored["strain"]) - 1.0) * remaining
     away = {
-        **plain["away"],
-        **{profiles.index(name): until for name, until in plain["away_for"].items() if name in profiles},
+        **stored["away"],
+        **{profiles.index(name): until for name, until in stored["away_for"].items() if name in profiles},
     }
-    server.away = {reason: int(until) for reason, until in away.items() if until > now}
+    host.away = {reason: int(until) for reason, until in away.items() if until > now}
 
 
-def times(told: list, now: int) -> list[int]:
-    return sorted(min(now, int(time)) for time in told)
+def parse_times(values: list, now: int) -> list[int]:
+    return sorted(min(now, int(time)) for time in values)
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -7,7 +7,7 @@
 from ..protocol import application, http1
 from ..protocol.application import Asked
 from ..protocol.http1 import Malformed, Message, Parser
-from ..recovery.door import Door
+from ..recovery.door import AdmissionControl
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, Fault
 from ..transport.descriptors import Descriptors
@@ -199,12 +199,12 @@
 
     def not_now(self) -> None:
         """This process can't keep up: rolled back before it costs more; nothing of it has run."""
-        clients, come_back = self.clients, min(self.clients.come_back_most, self.clients.door.come_back())
+        clients, come_back = self.clients, min(self.clients.come_back_most, self.clients.door.retry_after())
         clients.sparingly(
             "door",
-            share=round(clients.door.share(), 3),
-            mean_ms=clients.door.mean / 10,
-            turned_away=clients.door.turned_away,
+            share=round(clients.door.rejected_share(), 3),
+            mean_ms=clients.door.mean_wait / 10,
+            turned_away=clients.door.rejected,
         )
         self.keep = self.keep and clients.stay()
         self.write((application.rolled_back(come_back / TICKS, self.keep),))
@@ -371,7 +371,7 @@
         owner: Owner,
         clock: Clock,
         timers: Timers,
-        door: Door,
+        door: AdmissionControl,
         profiles: dict[str, int],
         buffers: BufferPool,
         descriptors: Descriptors,
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -5,7 +5,7 @@
 
 from ..protocol import catalogue
 from ..protocol.http1 import Message, Parser
-from ..recovery.following import BESIDE_MOST, GIVE_UP, Following
+from ..recovery.following import CALL_TIMEOUT, MAX_PARALLEL_CALLS, DiscoverySchedule
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, Fault, Stage
 from ..transport.descriptors import Descriptors
@@ -24,7 +24,7 @@
         self,
         address: tuple[str, int],
         version: int,
-        following: Following,
+        following: DiscoverySchedule,
         owner: Owner,
         buffers: BufferPool,
         descriptors: Descriptors,
@@ -34,7 +34,7 @@
         self.address, self.version, self.following = address, version, following
         self.owner, self.buffers, self.descriptors, self.log = owner, buffers, descriptors, log
         self.timers = timers
-        self.calls: list[asyncio.Task] = []  # the newest last; at most BESIDE_MOST, emptied as they fail
+        self.calls: list[asyncio.Task] = []  # newest last; at most MAX_PARALLEL_CALLS, emptied as they fail
         self.retry_timer = None  # the timer of the next try, while there is no call
         self.whole = False  # whether the whole list comes first: versions may be counted differently
         self.reasons: list[str] = []  # of the calls that have failed since the last answer
@@ -48,8 +48,8 @@
 
     def begin(self, at_once: bool = False) -> None:
         if not self.calls and self.retry_timer is None:
-            self.following.began()
-            delay = 0 if at_once else self.following.first_delay()
+            self.following.on_start()
+            delay = 0 if at_once else self.following.initial_delay()
             self.retry_timer = self.timers.set(delay, self.start_call, at_once or self.following.pushed)
 
     def end(self) -> None:
@@ -74,7 +74,7 @@
             )
             self.address, self.whole = address, True
         self.end()
-        self.following.moved()
+        self.following.on_move()
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
@@ -85,9 +85,9 @@
 
     def add_call(self, call: asyncio.Task) -> None:
         """That call has had no answer: guards against waiting for a silent one until its news counts."""
-        if self.calls and self.calls[-1] is call and len(self.calls) < BESIDE_MOST:
+        if self.calls and self.calls[-1] is call and len(self.calls) < MAX_PARALLEL_CALLS:
             self.log("list late", calls=len(self.calls))
-            self.following.fell_silent()
+            self.following.on_silence()
             self.start_call(True)
 
     async def run(self, at_once: bool) -> None:
@@ -99,7 +99,7 @@
         self.reasons.append(reason)
         turned_away = all(r.startswith("status") for r in self.reasons)
         if self.calls:  # one of the others may still be answered
-            delay = self.following.beside_delay(len(self.calls), len(self.reasons), turned_away)
+            delay = self.following.hedge_delay_after_failure(len(self.calls), len(self.reasons), turned_away)
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log("list call failed", reason=reason, others=len(self.calls))
         wait = self.following.retry_delay(turned_away)
@@ -134,7 +134,7 @@
     async def follow(self, connection: Connection, me: asyncio.Task, at_once: bool) -> str:
         """What went wrong; nothing, if discovery has closed the connection after an answer."""
         up = asyncio.get_running_loop().create_future()
-        late = self.following.silent_after(len(self.calls), at_once)
+        late = self.following.hedge_delay(len(self.calls), at_once)
         connection.connect(self.address, up.set_result)
         with self.bounded(connection, 0, late, me):
             fault = await up
@@ -157,7 +157,7 @@
             if whole and not listing.complete:
                 return "changes in place of the whole list"
             await self.take_answer(listing, me, at_once)
-            at_once, late = False, self.following.silent_after(1)
+            at_once, late = False, self.following.hedge_delay(1)
             if not found.keep:
                 return ""
 
@@ -169,7 +169,7 @@
         if others:
             self.log("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.reasons, self.answered_at = [me], [], self.timers.now()
-        self.following.answered()
+        self.following.on_answer()
         if listing.version < self.version and not self.whole:
             # guards against a discovery that counts anew: it would be asked for what it never reaches, and
             # what it has changed would be taken for changes of another list
@@ -235,10 +235,10 @@
     @contextmanager
     def bounded(self, connection: Connection, wait: int, late: int, me: asyncio.Task):
         """What is waited for inside gets a call beside it if it is late, and ends with the connection."""
-        why = f"not within {(wait + GIVE_UP) / self.timers.second:g} s"
+        why = f"not within {(wait + CALL_TIMEOUT) / self.timers.second:g} s"
         due = (
             self.timers.set(wait + late, self.add_call, me),
-            self.timers.set(wait + GIVE_UP, connection.fail, why),
+            self.timers.set(wait + CALL_TIMEOUT, connection.fail, why),
         )
         try:
             yield
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -5,7 +5,7 @@
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol import news
-from ..recovery.following import Asking, Following
+from ..recovery.following import DiscoverySchedule, PollingPolicy
 from ..terms import TENTH
 
 OUTCOMES = {
@@ -25,7 +25,9 @@
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.agreement(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = PollingPolicy(
+            DiscoverySchedule(self.proxy.terms, self.proxy.chance), Counting(self.proxy)
+        )
         self.profiles = terms.profiles(setup)
         self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
         self.addresses: list[str] = []
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -7,7 +7,7 @@
 from basalthook.fleet.counting import Counting
 from basalthook.policy import interface as i
 from basalthook.policy.decide import Proxy
-from basalthook.recovery.following import Asking, Following
+from basalthook.recovery.following import DiscoverySchedule, PollingPolicy
 
 IDEMPOTENT, SCAN_CELL, NON_IDEMPOTENT, PUSH_ZONE, UPLOAD = range(5)
 PROFILES = (
@@ -52,7 +52,9 @@
         self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
         self.hosts = {h.line.host: h for h in hosts}
         self.proxy = Proxy(i.Agreement(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = PollingPolicy(
+            DiscoverySchedule(self.proxy.terms, self.proxy.chance), Counting(self.proxy)
+        )
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
         self.tell(i.HostsListed(tuple(h.line for h in hosts), True, True))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -9,36 +9,36 @@
 
 from basalthook.policy import interface as i
 from basalthook.protocol import catalogue
-from basalthook.recovery.following import SILENT, URGENT_TRIES, Following
+from basalthook.recovery.following import SILENCE_TIMEOUT, URGENT_RETRIES, DiscoverySchedule
 from tests.fake import SETTINGS, TERMS, SocketDiscovery, SocketHost
 from tests.loopback import Loopback
 
 
 def following(seed=1, **terms):
-    return Following(i.Agreement(**{**TERMS, "grace": 5_000, **terms}), Random(seed))
+    return DiscoverySchedule(i.Agreement(**{**TERMS, "grace": 5_000, **terms}), Random(seed))
 
 
 class Rule(unittest.TestCase):
     @given(st.integers(0, 50_000), st.integers(0, 2**32))
     def test_the_fourth_call_beside_a_silent_one_has_a_part_of_the_grace_left(self, grace, seed):
         rule = following(seed, grace=grace)
-        begun = sum(rule.silent_after(calls) for calls in range(1, 4))
-        self.assertLessEqual(begun + (SILENT + grace) // 5, SILENT + grace)
+        begun = sum(rule.hedge_delay(calls) for calls in range(1, 4))
+        self.assertLessEqual(begun + (SILENCE_TIMEOUT + grace) // 5, SILENCE_TIMEOUT + grace)
 
     def test_calls_that_break_beside_silent_ones_are_made_again_soon_and_no_more_than_three_times(self):
         rule = following()
-        waits = [rule.beside_delay(1, failed, False) for failed in range(1, 6)]
+        waits = [rule.hedge_delay_after_failure(1, failed, False) for failed in range(1, 6)]
         self.assertLess(sum(waits[:3]), 5_000)
-        self.assertEqual(waits[3:], [rule.silent_after(1)] * 2)
-        self.assertEqual(rule.beside_delay(1, 1, True), rule.silent_after(1))
-        self.assertGreaterEqual(following(proxies=100).beside_delay(1, 1, False), 5_000 - 1)
+        self.assertEqual(waits[3:], [rule.hedge_delay(1)] * 2)
+        self.assertEqual(rule.hedge_delay_after_failure(1, 1, True), rule.hedge_delay(1))
+        self.assertGreaterEqual(following(proxies=100).hedge_delay_after_failure(1, 1, False), 5_000 - 1)
 
     def test_calls_beside_one_for_pushed_news_come_within_the_grace_at_few_proxies_only(self):
         for proxies, most in ((1, 1_250), (12, 1_250), (30, 3_000), (2_000, 5_000)):
             rule = following(list_on_request=False, proxies=proxies)
-            self.assertLessEqual(rule.silent_after(1, at_once=True), most)
-        self.assertEqual(rule.silent_after(1, at_once=True), rule.silent_after(1))
-        self.assertEqual(following().silent_after(1, at_once=True), following().silent_after(1))
+            self.assertLessEqual(rule.hedge_delay(1, immediate=True), most)
+        self.assertEqual(rule.hedge_delay(1, immediate=True), rule.hedge_delay(1))
+        self.assertEqual(following().hedge_delay(1, immediate=True), following().hedge_delay(1))
 
     @given(st.integers(1, 2_000), st.integers(0, 2**32))
     def test_a_fleet_whose_calls_were_all_answered_at_once_does_not_call_at_once_again(self, proxies, seed):
@@ -61,47 +61,47 @@
     ):
         rule = following(seed, ask_within=ask_within, list_on_request=not pushed, grace=drain_grace)
         for _ in range(failures):
-            self.assertLessEqual(rule.retry_delay(turned_away=True), 20_000)
-        for event, grace in ((rule.moved, 40_000), (rule.fell_silent, SILENT)):
-            rule.answered()
+            self.assertLessEqual(rule.retry_delay(overloaded=True), 20_000)
+        for event, grace in ((rule.on_move, 40_000), (rule.on_silence, SILENCE_TIMEOUT)):
+            rule.on_answer()
             for _ in range(failures):
-                rule.retry_delay(turned_away=True)
+                rule.retry_delay(overloaded=True)
             event()
-            waits = [rule.retry_delay(turned_away=True) for _ in range(URGENT_TRIES)]
+            waits = [rule.retry_delay(overloaded=True) for _ in range(URGENT_RETRIES)]
             self.assertLessEqual(waits[0], 2_000)
             self.assertLessEqual(max(waits), 10_000)
-            tries = sum(sum(waits[: n + 1]) < grace for n in range(URGENT_TRIES))
+            tries = sum(sum(waits[: n + 1]) < grace for n in range(URGENT_RETRIES))
             self.assertGreaterEqual(tries, 4)  # of which one at least has time to be answered
 
     def test_a_discovery_with_too_many_callers_is_called_less_often_each_time_while_urgent(self):
         rule = following()
-        rule.moved()
-        spans = [sum(rule.retry_delay(turned_away=True) for _ in range(4)) for _ in range(2)]
+        rule.on_move()
+        spans = [sum(rule.retry_delay(overloaded=True) for _ in range(4)) for _ in range(2)]
         self.assertGreater(spans[1], 2 * spans[0])
         for rule in (following(), following(list_on_request=False, proxies=200)):
-            self.assertGreaterEqual(min(rule.retry_delay(turned_away=True) for _ in range(4)), 10_000)
+            self.assertGreaterEqual(min(rule.retry_delay(overloaded=True) for _ in range(4)), 10_000)
 
     def test_a_few_proxies_whose_list_is_pushed_call_within_the_grace_however_calls_fail(self):
         for turned_away in (False, True):
             rule = following(list_on_request=False, proxies=6)
             self.assertLessEqual(max(rule.retry_delay(turned_away) for _ in range(40)), 2_500)
 
-    @given(st.integers(100_000, 600_000), st.sampled_from(("retry_delay", "fell_silent", "moved")))
+    @given(st.integers(100_000, 600_000), st.sampled_from(("retry_delay", "on_silence", "on_move")))
     def test_the_watch_after_a_broken_one_is_short_and_answers_make_it_long_again(self, ask_within, event):
         rule = following(ask_within=ask_within)
         usual = rule.watch_wait()
         getattr(rule, event)(*([True] if event == "retry_delay" else []))
-        seen_as_silent = rule.watch_wait() + rule.silent_after(1)
+        seen_as_silent = rule.watch_wait() + rule.hedge_delay(1)
         self.assertLessEqual(seen_as_silent, 60_000)  # before its news counts
         for _ in range(6):
-            rule.answered()
+            rule.on_answer()
         self.assertGreaterEqual(rule.watch_wait(), min(usual, 300_000) // 2)
 
     def test_a_new_process_calls_early_enough_for_a_second_call_before_news_counts(self):
         for proxies in (1, 7, 200):
             for position in range(proxies):
                 rule = following(proxies=proxies, position=position, ask_within=300_000)
-                self.assertLess(rule.first_delay() + rule.retry_delay(turned_away=True), 60_000)
+                self.assertLess(rule.initial_delay() + rule.retry_delay(overloaded=True), 60_000)
 
 
 class Lists(unittest.TestCase):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -110,10 +110,10 @@
     def upgraded(self, stage, hosts, wait=0):
         """A new proxy with the same hosts and what the old one has left as JSON."""
         ids = {h.line.host: f"s-{h.line.host}" for h in hosts}
-        left = json.loads(json.dumps(knowledge.told(stage.proxy, ids, NAMES)))
+        left = json.loads(json.dumps(knowledge.export_state(stage.proxy, ids, NAMES)))
         successor = Stage(hosts, seed=2)
         successor.now = stage.now + wait
-        fitted = knowledge.taken_over(
+        fitted = knowledge.restore_state(
             successor.proxy, left, {name: n for n, name in ids.items()}, NAMES, successor.now, 30_000
         )
         return successor, fitted
@@ -156,7 +156,7 @@
         hosts = [FakeHost(0)]
         for left in ({}, {"at": 1}, {"at": "x", "born": 0}, [], None):
             with self.assertRaises((ValueError, TypeError, KeyError, AttributeError)):
-                knowledge.taken_over(Stage(hosts).proxy, left, {}, NAMES, 1_000_000, 30_000)
+                knowledge.restore_state(Stage(hosts).proxy, left, {}, NAMES, 1_000_000, 30_000)
 
     def test_while_two_processes_live_each_keeps_to_half_of_a_fresh_hosts_slice(self):
         sent = []
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -13,7 +13,7 @@
 from basalthook.policy import interface as i
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
-from basalthook.recovery.door import EASE, LOST, Door
+from basalthook.recovery.door import REJECTION_FULL, REJECTION_START, AdmissionControl
 from basalthook.transport import arrival
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
@@ -28,13 +28,13 @@
 
 class TheDoor(unittest.TestCase):
     def test_short_stalls_and_light_waits_turn_nobody_away(self):
-        door = Door(GOAL, Random(1))
+        door = AdmissionControl(GOAL, Random(1))
         waits = [20] * 400 + [400] * 10 + [20] * 400  # a stall of 40 ms in between
         self.assertTrue(all(door.admit(n, wait) for n, wait in enumerate(waits)))
 
     def test_with_twice_the_work_it_settles_where_the_rest_is_in_time(self):
         """One worker; turning away costs it a tenth of a transaction; arrivals at twice its rate."""
-        door, chance, free, waits, taken = Door(GOAL, Random(1)), Random(2), 0.0, [], 0
+        door, chance, free, waits, taken = AdmissionControl(GOAL, Random(1)), Random(2), 0.0, [], 0
         now = 0.0
         for n in range(40_000):
             now += chance.expovariate(1 / 2.0)
@@ -48,23 +48,23 @@
         self.assertGreater(taken / 20_000, 0.4)  # of the 45 in 100 that the worker could do
 
     def test_what_is_too_late_already_is_turned_away_and_quiet_times_open_the_door(self):
-        door = Door(GOAL, Random(1))
+        door = AdmissionControl(GOAL, Random(1))
         self.assertFalse(door.admit(0, GOAL))
         for n in range(1_000):
             door.admit(n, GOAL - 1)
-        self.assertEqual(door.share(), 1.0)
+        self.assertEqual(door.rejected_share(), 1.0)
         self.assertTrue(door.admit(60_000, 0))  # five seconds later
-        self.assertLess(door.share(), 0.01)
+        self.assertLess(door.rejected_share(), 0.01)
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.integers(0, 100_000)), max_size=200))
     def test_shares_and_come_back_times_stay_in_their_bounds(self, arrivals):
-        door, now = Door(GOAL, Random(1)), 0
+        door, now = AdmissionControl(GOAL, Random(1)), 0
         for gap, waited in arrivals:
             now += gap
             door.admit(now, waited)
-            self.assertTrue(0 <= door.mean <= GOAL and 0 <= door.share() <= 1)
-            self.assertTrue(GOAL / 2 <= door.come_back() <= 6 * GOAL)
-        self.assertLess(EASE, LOST)
+            self.assertTrue(0 <= door.mean_wait <= GOAL and 0 <= door.rejected_share() <= 1)
+            self.assertTrue(GOAL / 2 <= door.retry_after() <= 6 * GOAL)
+        self.assertLess(REJECTION_START, REJECTION_FULL)
 
 
 class SingleSilences(unittest.TestCase):
