--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -1,8 +1,9 @@
-"""One client proxy over its upgrades: what the old process leaves, what the new one takes, who accepts when.
+"""Hot restart of one client proxy: state handed from the old process to the new, and which one accepts.
 
-Old and new meet in a folder. The new one takes over the staff's orders, the list and what the decisions
-know, and says that it serves once it does; the old one sees that, takes no new connection from the shared
-backlog and finishes. Either may be killed at any moment: the other finds its lock free and goes on alone.
+Both processes use files in a shared folder. The new one takes over the operators' orders, the host list and
+the state of the decision policy, and records that it serves as soon as it does. The old one sees that, stops
+accepting connections from the shared backlog and finishes its work. Either may be killed at any moment: the
+other finds its lock released and goes on alone.
 """
 
 from typing import NamedTuple
@@ -14,231 +15,238 @@
 from ..routing.owner import Ordered, Owner, Shared
 from ..transport.timers import Timers
 from . import record
-from .neighbours import Neighbours
-from .record import Bad
+from .neighbours import ProcessRegistry
+from .record import BadRecord
 
-LOOK = 0.1  # seconds between two looks at what a neighbour has written: some microseconds each
-WRITE = 0.5  # seconds between two records of what is known; the staff's orders go at once
-LAST = 1.0  # seconds that the last record may take once all is answered
-OLD = 15 * TICKS  # what was known longer ago tells less than the start-up file
-SOUND = (ValueError, TypeError, KeyError, AttributeError)  # a record of other content
+POLL_INTERVAL_S = 0.1  # between two checks of the other process's files; a check takes microseconds
+WRITE_INTERVAL_S = 0.5  # between two records of the state; operators' orders are written at once
+FINAL_WRITE_TIMEOUT_S = 1.0  # for the last record, once all transactions are answered
+MAX_STATE_AGE = 15 * TICKS  # older state is worth less than the start-up file
+# Raised for records with a valid checksum and unexpected content.
+INVALID_RECORD_ERRORS = (ValueError, TypeError, KeyError, AttributeError)
 
 
-class Here(NamedTuple):
-    """What this process does when its neighbours change."""
+class HandoverCallbacks(NamedTuple):
+    """Called when another process takes over, appears or ends."""
 
-    accept: object  # accept(bool): take new connections from the backlog
-    share: object  # share(): `other` has come or gone; limits are for both, or one's alone
+    set_accepting: object  # (bool): whether to accept connections from the backlog
+    update_limits: object  # (): limits are now shared with `other_process`, or no longer
 
 
 class Handover:
+    """Exchanges state with other processes of this proxy; works without them if the folder can't be used."""
+
     def __init__(
         self,
-        neighbours: Neighbours,
+        registry: ProcessRegistry,
         owner: Owner,
         clients,
         watch,
         timers: Timers,
         clock: Clock,
         profiles: list[str],
-        fade: int,
-        here: Here,
+        half_life: int,
+        callbacks: HandoverCallbacks,
         say,
     ) -> None:
-        """`profiles`: names by index; `fade`: ticks in which a judgement of the present fades by half."""
-        self.neighbours, self.owner, self.clients, self.watch = neighbours, owner, clients, watch
-        self.timers, self.clock, self.profiles, self.fade = timers, clock, profiles, fade
-        self.here, self.say = here, say
+        """`profiles`: names by index; `half_life`: ticks in which restored load estimates are halved."""
+        self.registry, self.owner, self.clients, self.watch = registry, owner, clients, watch
+        self.timers, self.clock, self.profiles, self.half_life = timers, clock, profiles, half_life
+        self.callbacks, self.say = callbacks, say
         self.roster = owner.roster
-        self.other = ""  # the neighbour that shares the limits with this process
+        self.other_process = ""  # id of the process that shares the limits with this one
         self.accepting = self.ending = False
-        self.seen_orders = self.seen_serving = None
-        self.owed: dict[str, object] = {}  # records that could not be written yet -> what writes each
-        self.owed_next = 0
-        self.write_next = 0
-        self.timer, self.complained, self.writer = None, "", record.Writer()
-
-    # ---- the start of a successor
-
-    def arrive(self, told: Listing) -> tuple[Listing, dict | None]:
-        """The list to begin with, and what the decisions should know; before the owner starts."""
-        wrong = self.neighbours.arrive()
-        if wrong:
-            self.complain(wrong)
-            return told, None
-        serves = self.neighbours.serves()
-        if isinstance(serves, Bad):
-            self.complain(serves.reason)
-        elif serves and self.neighbours.alive(serves):
-            self.other = serves
-        self.join_orders()
-        found = record.read(self.neighbours.known)
-        if isinstance(found, Bad):
-            self.complain(found.reason)
+        self.orders_signature = self.serving_signature = None
+        self.pending_writes: dict[str, object] = {}  # name of a record that failed -> function that writes it
+        self.next_pending_write = 0
+        self.next_state_write = 0
+        self.timer, self.last_error, self.writer = None, "", record.RecordWriter()
+
+    # ---- start as a successor
+
+    def load_state(self, fallback: Listing) -> tuple[Listing, dict | None]:
+        """The host list to start with and the policy's state, if any. Call before the owner starts."""
+        error = self.registry.register()
+        if error:
+            self.log_error(error)
+            return fallback, None
+        serving = self.registry.serving_process()
+        if isinstance(serving, BadRecord):
+            self.log_error(serving.reason)
+        elif serving and self.registry.is_alive(serving):
+            self.other_process = serving
+        self.merge_orders()
+        found = record.read(self.registry.state_path)
+        if isinstance(found, BadRecord):
+            self.log_error(found.reason)
         elif found is not None:
-            return self.listing(found, told)
-        return told, None
+            return self.decode_state(found, fallback)
+        return fallback, None
 
-    def listing(self, found, told: Listing) -> tuple[Listing, dict | None]:
+    def decode_state(self, found, fallback: Listing) -> tuple[Listing, dict | None]:
         try:
-            if self.clock.now() - int(found["known"]["at"]) > OLD or not found["list"]["lines"]:
-                return told, None
+            if self.clock.now() - int(found["known"]["at"]) > MAX_STATE_AGE or not found["list"]["lines"]:
+                return fallback, None
             lines = tuple(
                 Line(line[0], (str(line[1][0]), int(line[1][1])), *line[2:])
                 for line in found["list"]["lines"]
             )
             return Listing(int(found["list"]["version"]), True, lines), found["known"]
-        except (*SOUND, IndexError) as fault:
-            self.complain(f"{self.neighbours.known}: {fault!r}")
-            return told, None
+        except (*INVALID_RECORD_ERRORS, IndexError) as error:
+            self.log_error(f"{self.registry.state_path}: {error!r}")
+            return fallback, None
 
-    def take_over(self, known: dict | None) -> None:
-        """Once the owner has its first list."""
-        if known is None:
+    def restore_state(self, state: dict | None) -> None:
+        """Call once the owner has its first host list."""
+        if state is None:
             return
         try:
-            fitted = knowledge.restore_state(
-                self.owner.proxy, known, self.roster.numbers, self.profiles, self.clock.now(), self.fade
+            restored = knowledge.restore_state(
+                self.owner.proxy, state, self.roster.numbers, self.profiles, self.clock.now(), self.half_life
             )
-        except SOUND as fault:
-            return self.complain(f"{self.neighbours.known}: {fault!r}")
+        except INVALID_RECORD_ERRORS as error:
+            return self.log_error(f"{self.registry.state_path}: {error!r}")
         self.say(
             "taken over",
-            hosts=fitted,
-            age_ms=(self.clock.now() - known["at"]) / 10,
+            hosts=restored,
+            age_ms=(self.clock.now() - state["at"]) / 10,
             orders=len(self.roster.orders.words),
-            beside=bool(self.other),
+            beside=bool(self.other_process),
         )
 
-    def ready(self) -> None:
-        """This process serves: the one before it, if it lives, takes no more."""
+    def start_serving(self) -> None:
+        """This process serves from now on; its predecessor, if alive, stops accepting."""
         self.accepting = True
-        if self.neighbours.lock < 0:
+        if self.registry.lock_fd < 0:
             return
-        self.share(self.other)
-        self.say_serving()
-        self.seen_serving = record.mark(self.neighbours.serving)
-        self.look()
-
-    # ---- while it runs
-
-    def look(self) -> None:
-        self.timer = self.timers.set(int(LOOK * TICKS), self.look)
-        if record.mark(self.neighbours.orders) != self.seen_orders:
-            self.join_orders()
-        if record.mark(self.neighbours.serving) != self.seen_serving:
-            self.seen_serving = record.mark(self.neighbours.serving)
-            serves = self.neighbours.serves()
-            if isinstance(serves, str) and serves not in ("", self.neighbours.me):
-                self.succeeded(serves)
-        if self.other and not self.neighbours.alive(self.other):
-            self.alone()
-        if self.owed and self.clock.now() >= self.owed_next:
-            self.owed_next = self.clock.now() + int(WRITE * TICKS)
-            self.write_owed()
-        if self.accepting and self.clock.now() >= self.write_next:
-            self.write_next = self.clock.now() + int(WRITE * TICKS)
-            self.leave_known()
-
-    def succeeded(self, successor: str) -> None:
+        self.share_limits(self.other_process)
+        self.claim_serving()
+        self.serving_signature = record.file_signature(self.registry.serving_path)
+        self.poll()
+
+    # ---- while running
+
+    def poll(self) -> None:
+        self.timer = self.timers.set(int(POLL_INTERVAL_S * TICKS), self.poll)
+        if record.file_signature(self.registry.orders_path) != self.orders_signature:
+            self.merge_orders()
+        if record.file_signature(self.registry.serving_path) != self.serving_signature:
+            self.serving_signature = record.file_signature(self.registry.serving_path)
+            serving = self.registry.serving_process()
+            if isinstance(serving, str) and serving not in ("", self.registry.own_id):
+                self.on_succeeded(serving)
+        if self.other_process and not self.registry.is_alive(self.other_process):
+            self.on_other_gone()
+        if self.pending_writes and self.clock.now() >= self.next_pending_write:
+            self.next_pending_write = self.clock.now() + int(WRITE_INTERVAL_S * TICKS)
+            self.retry_pending_writes()
+        if self.accepting and self.clock.now() >= self.next_state_write:
+            self.next_state_write = self.clock.now() + int(WRITE_INTERVAL_S * TICKS)
+            self.write_state()
+
+    def on_succeeded(self, successor: str) -> None:
         self.say("succeeded", by=successor)
         self.accepting = False
-        self.share(successor)
-        self.here.accept(False)
+        self.share_limits(successor)
+        self.callbacks.set_accepting(False)
 
-    def alone(self) -> None:
-        """The neighbour is gone. If it had taken over, this one serves again."""
-        self.say("alone", without=self.other, serves=not self.ending)
-        self.share("")
+    def on_other_gone(self) -> None:
+        """The other process is gone. If it had taken over, this one serves again."""
+        self.say("alone", without=self.other_process, serves=not self.ending)
+        self.share_limits("")
         if not self.accepting and not self.ending:
             self.accepting = True
-            self.say_serving()
-            self.seen_serving = record.mark(self.neighbours.serving)
-            self.here.accept(True)
-
-    def say_serving(self) -> None:
-        wrong = self.neighbours.serve()
-        if wrong:
-            self.complain(wrong)
-            self.owed["serving"] = self.neighbours.serve
-
-    def write_owed(self) -> None:
-        """What could not be written, as the disk was full or failed, is still owed to a successor."""
-        for record_name, again in list(self.owed.items()):
-            if not again():
-                del self.owed[record_name]
+            self.claim_serving()
+            self.serving_signature = record.file_signature(self.registry.serving_path)
+            self.callbacks.set_accepting(True)
+
+    def claim_serving(self) -> None:
+        error = self.registry.claim_serving()
+        if error:
+            self.log_error(error)
+            self.pending_writes["serving"] = self.registry.claim_serving
+
+    def retry_pending_writes(self) -> None:
+        """Retries records that a full or failing disk rejected: a successor still needs them."""
+        for record_name, write in list(self.pending_writes.items()):
+            if not write():
+                del self.pending_writes[record_name]
                 self.say(f"{record_name} kept")
 
     def write_orders(self) -> str:
-        wrong = record.write(self.neighbours.orders, self.roster.orders.plain())
-        self.seen_orders = record.mark(self.neighbours.orders)
-        return wrong
-
-    def share(self, other: str) -> None:
-        self.other = other
-        self.here.share()
-        self.owner.post(Shared(2 if other else 1))
-
-    def join_orders(self) -> None:
-        """What the staff has told the neighbour holds here too."""
-        self.seen_orders = record.mark(self.neighbours.orders)
-        found = record.read(self.neighbours.orders)
+        error = record.write(self.registry.orders_path, self.roster.orders.plain())
+        self.orders_signature = record.file_signature(self.registry.orders_path)
+        return error
+
+    def share_limits(self, other_process: str) -> None:
+        self.other_process = other_process
+        self.callbacks.update_limits()
+        self.owner.post(Shared(2 if other_process else 1))
+
+    def merge_orders(self) -> None:
+        """Applies the operators' orders that the other process has recorded."""
+        self.orders_signature = record.file_signature(self.registry.orders_path)
+        found = record.read(self.registry.orders_path)
         if found is None:
             return
         try:
-            told = Orders.read(found)
-        except SOUND as fault:
-            found = found if isinstance(found, Bad) else Bad(f"{self.neighbours.orders}: {fault!r}")
-        if isinstance(found, Bad):
-            return self.complain(found.reason)
-        changed = self.roster.orders.join(told)
+            orders = Orders.read(found)
+        except INVALID_RECORD_ERRORS as error:
+            found = (
+                found
+                if isinstance(found, BadRecord)
+                else BadRecord(f"{self.registry.orders_path}: {error!r}")
+            )
+        if isinstance(found, BadRecord):
+            return self.log_error(found.reason)
+        changed = self.roster.orders.join(orders)
         if changed:
-            self.say("orders taken over", hosts=sorted(changed), drained=told.drained)
-            if self.roster.places:  # else the first list comes under them
+            self.say("orders taken over", hosts=sorted(changed), drained=orders.drained)
+            if self.roster.places:  # else they apply to the first list anyway
                 self.owner.post(Ordered(changed))
         if self.roster.orders.drained != self.clients.drained:
             self.clients.drain(self.roster.orders.drained)
 
-    def keep_orders(self, orders: Orders) -> str:
-        """Written down before the staff has its yes; what went wrong, else ""."""
-        if self.neighbours.lock < 0:
-            return "no folder to write in"
-        if record.mark(self.neighbours.orders) != self.seen_orders:
-            self.join_orders()  # guards against two that write at once: neither word is lost
-        wrong = self.write_orders()
-        if wrong:
-            self.owed["orders"] = self.write_orders
-        return wrong
-
-    def leave_known(self) -> None:
+    def save_orders(self, orders: Orders) -> str:
+        """Writes the orders before the operator gets an answer. Returns an error, or "" on success."""
+        if self.registry.lock_fd < 0:
+            return "no folder to write to"
+        if record.file_signature(self.registry.orders_path) != self.orders_signature:
+            self.merge_orders()  # else orders written by the other process meanwhile would be lost
+        error = self.write_orders()
+        if error:
+            self.pending_writes["orders"] = self.write_orders
+        return error
+
+    def write_state(self) -> None:
         ids = {number: place.id for number, place in self.roster.places.items()}
         lines = [list(place.line) for place in self.roster.places.values() if not place.line.removed]
         self.writer.put(
-            self.neighbours.known,
+            self.registry.state_path,
             {
                 "list": {"version": self.watch.version, "lines": lines},
                 "known": knowledge.export_state(self.owner.proxy, ids, self.profiles)
                 | {"at": self.clock.now()},
             },
         )
-        if self.writer.wrong:
-            self.complain(self.writer.wrong)
+        if self.writer.error:
+            self.log_error(self.writer.error)
 
-    def complain(self, reason: str) -> None:
-        if reason != self.complained:  # one line, not ten a second
-            self.complained = reason
+    def log_error(self, reason: str) -> None:
+        if reason != self.last_error:  # else the poll would log it ten times a second
+            self.last_error = reason
             self.say("handover", reason=reason)
 
-    # ---- its end
+    # ---- shutdown
 
     def end(self) -> None:
-        """SIGTERM came: what is known is left as it is now, and nothing of it is taken back."""
-        if self.accepting and self.neighbours.lock >= 0:
-            self.leave_known()
+        """SIGTERM was received: writes the state as it is now, for the last time."""
+        if self.accepting and self.registry.lock_fd >= 0:
+            self.write_state()
         self.ending, self.accepting = True, False
 
     def close(self) -> None:
         self.timers.cancel(self.timer)
-        if not self.writer.wait(LAST):
-            self.complain(f"{self.neighbours.known}: not written within {LAST:g} s")
-        self.neighbours.leave()
+        if not self.writer.wait(FINAL_WRITE_TIMEOUT_S):
+            self.log_error(f"{self.registry.state_path}: not written within {FINAL_WRITE_TIMEOUT_S:g} s")
+        self.registry.unregister()
--- a/basalthook/handover/inherited.py
+++ b/basalthook/handover/inherited.py
@@ -4,33 +4,38 @@
 import socket
 
 
-class NotOurs(Exception):
-    """Says in one line what is wrong with the descriptor told."""
+class InheritedSocketError(Exception):
+    """The inherited descriptor can't be used; the message is one line with the reason."""
 
 
-def listening(told: str, address: tuple[str, int]) -> socket.socket:
-    """The socket behind the descriptor; NotOurs if it is none that listens, on TCP, on the address told."""
-    if not told.isascii() or not told.isdigit():
-        raise NotOurs(f"{told!r} is no number of a descriptor")
+def open_inherited(descriptor: str, address: tuple[str, int]) -> socket.socket:
+    """The socket behind the descriptor.
+
+    Raises InheritedSocketError if it is no TCP socket that listens on `address`.
+    """
+    if not descriptor.isascii() or not descriptor.isdigit():
+        raise InheritedSocketError(f"{descriptor!r} is not a descriptor number")
     try:
-        os.fstat(int(told))
-        sock = socket.socket(fileno=int(told))
-    except OSError as fault:
-        raise NotOurs(f"descriptor {told} is no open socket: {fault.strerror}") from None
+        os.fstat(int(descriptor))
+        sock = socket.socket(fileno=int(descriptor))
+    except OSError as error:
+        raise InheritedSocketError(f"descriptor {descriptor} is no open socket: {error.strerror}") from None
     try:
         if sock.family not in (socket.AF_INET, socket.AF_INET6) or sock.type != socket.SOCK_STREAM:
-            raise NotOurs(f"descriptor {told} is no TCP socket")
+            raise InheritedSocketError(f"descriptor {descriptor} is not a TCP socket")
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise NotOurs(f"descriptor {told} is not listening")
+            raise InheritedSocketError(f"descriptor {descriptor} is not listening")
         host, port = sock.getsockname()[:2]
         if port != address[1] and address[1] or host not in (address[0], "0.0.0.0", "::"):
-            raise NotOurs(f"descriptor {told} listens on {host}:{port}, not on {address[0]}:{address[1]}")
+            raise InheritedSocketError(
+                f"descriptor {descriptor} listens on {host}:{port}, not on {address[0]}:{address[1]}"
+            )
         sock.setblocking(False)
         os.set_inheritable(sock.fileno(), False)
-    except NotOurs:
+    except InheritedSocketError:
         sock.detach()
         raise
-    except OSError as fault:
+    except OSError as error:
         sock.detach()
-        raise NotOurs(f"descriptor {told}: {fault.strerror}") from None
+        raise InheritedSocketError(f"descriptor {descriptor}: {error.strerror}") from None
     return sock
--- a/basalthook/handover/neighbours.py
+++ b/basalthook/handover/neighbours.py
@@ -1,7 +1,7 @@
-"""Processes of one name that share a folder: who is there, who serves, and the records they leave.
+"""Registry of the processes of one proxy that share a folder: which are alive, and which one serves.
 
-Each holds a lock on a file of its own for as long as it lives; however it ends, the kernel lets go. That
-tells a neighbour alive from one that was killed, also where process numbers mean nothing to each other.
+Each process holds a lock on a file of its own for as long as it lives; however it ends, the kernel releases
+the lock. That tells a live process from a killed one, also across PID namespaces.
 """
 
 import fcntl
@@ -10,45 +10,49 @@
 from urllib.parse import quote
 
 from . import record
-from .record import Bad
+from .record import BadRecord
 
 
-class Neighbours:
+class ProcessRegistry:
+    """The files that the processes of the proxy `name` keep in `folder`."""
+
     def __init__(self, folder: str, name: str) -> None:
-        self.base = os.path.join(folder, "basalthook-" + quote(name, safe="")[:100])
-        self.orders, self.known = self.base + ".orders", self.base + ".known"
-        self.serving = self.base + ".serving"  # names the lock of the process that serves
-        self.me, self.lock = "", -1
+        self.path_prefix = os.path.join(folder, "basalthook-" + quote(name, safe="")[:100])
+        self.orders_path, self.state_path = self.path_prefix + ".orders", self.path_prefix + ".known"
+        self.serving_path = self.path_prefix + ".serving"  # holds the id of the process that serves
+        self.own_id, self.lock_fd = "", -1
 
-    def arrive(self) -> str:
-        """Be there, seen by others; what went wrong, else ""."""
-        self.me, start, end = os.urandom(8).hex(), os.path.basename(self.base) + ".", ".alive"
+    def register(self) -> str:
+        """Creates and locks this process's file. Returns an error, or "" on success."""
+        self.own_id, start, end = os.urandom(8).hex(), os.path.basename(self.path_prefix) + ".", ".alive"
         try:
-            for name in os.listdir(os.path.dirname(self.base)):  # guards against files of many killed ones
+            for name in os.listdir(os.path.dirname(self.path_prefix)):
                 if name.startswith(start) and name.endswith(end):
-                    self.alive(name[len(start) : -len(end)])
-            self.lock = os.open(self.path(self.me), os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as fault:
-            return f"cannot write in {os.path.dirname(self.base)}: {fault.strerror}"
+                    self.is_alive(name[len(start) : -len(end)])  # removes files of killed processes
+            self.lock_fd = os.open(
+                self.lock_path(self.own_id), os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600
+            )
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError as error:
+            return f"cannot write in {os.path.dirname(self.path_prefix)}: {error.strerror}"
         return ""
 
-    def leave(self) -> None:
-        if self.lock >= 0:
+    def unregister(self) -> None:
+        if self.lock_fd >= 0:
             with suppress(OSError):
-                os.unlink(self.path(self.me))
-            os.close(self.lock)
-            self.lock = -1
+                os.unlink(self.lock_path(self.own_id))
+            os.close(self.lock_fd)
+            self.lock_fd = -1
 
-    def path(self, who: str) -> str:
-        return f"{self.base}.{who}.alive"
+    def lock_path(self, process_id: str) -> str:
+        return f"{self.path_prefix}.{process_id}.alive"
 
-    def alive(self, who: str) -> bool:
-        """Whether this neighbour lives; the file of one that does not is taken away."""
-        if who == self.me:
+    def is_alive(self, process_id: str) -> bool:
+        """Whether this process is alive; the file of one that is not is removed."""
+        if process_id == self.own_id:
             return True
         try:
-            file = os.open(self.path(who), os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
+            file = os.open(self.lock_path(process_id), os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
         except OSError:
             return False
         try:
@@ -57,19 +61,23 @@
             return True
         else:
             with suppress(OSError):
-                os.unlink(self.path(who))
+                os.unlink(self.lock_path(process_id))
             return False
         finally:
             os.close(file)
 
-    def serves(self) -> str | Bad:
-        """Who says so; "" for nobody."""
-        found = record.read(self.serving)
-        if isinstance(found, Bad):
+    def serving_process(self) -> str | BadRecord:
+        """The id of the process that is recorded as serving; "" if there is none."""
+        found = record.read(self.serving_path)
+        if isinstance(found, BadRecord):
             return found
-        who = found.get("who") if isinstance(found, dict) else None
-        return who if isinstance(who, str) and who.isalnum() and len(who) == 16 else ""
+        process_id = found.get("who") if isinstance(found, dict) else None
+        return (
+            process_id
+            if isinstance(process_id, str) and process_id.isalnum() and len(process_id) == 16
+            else ""
+        )
 
-    def serve(self) -> str:
-        """From now on this process does; what went wrong, else ""."""
-        return record.write(self.serving, {"who": self.me})
+    def claim_serving(self) -> str:
+        """Records that this process serves from now on. Returns an error, or "" on success."""
+        return record.write(self.serving_path, {"who": self.own_id})
--- a/basalthook/handover/record.py
+++ b/basalthook/handover/record.py
@@ -1,7 +1,7 @@
-"""A record on disk: written whole or not at all, read only if it is sound and ours.
+"""Records on disk: written atomically, and read only if valid and owned by this user.
 
-Form: a line that names form and version, the length of the text, its checksum, the text (JSON). It is renamed
-over the one before. No fsync: it has to outlive the process, not the machine.
+Format: a line with format and version, the length of the payload, its checksum, the payload (JSON). A new
+record is renamed over the old one. There is no fsync: records have to survive the process, not the machine.
 """
 
 import os
@@ -15,49 +15,49 @@
 import orjson
 
 MAGIC = b"basalthook record 1\n"
-HEAD = struct.Struct(">I16s")
-LENGTH_MOST = 8 * 1024 * 1024
+HEADER = struct.Struct(">I16s")
+MAX_RECORD_BYTES = 8 * 1024 * 1024
 
 
-class Bad(NamedTuple):
-    """There is something, but no record that may be followed."""
+class BadRecord(NamedTuple):
+    """The file exists but holds no valid record."""
 
     reason: str
 
 
-def digest(text: bytes) -> bytes:
+def compute_checksum(text: bytes) -> bytes:
     return blake2b(text, digest_size=16).digest()
 
 
 def encode(value) -> bytes:
     text = orjson.dumps(value)
-    return MAGIC + HEAD.pack(len(text), digest(text)) + text
+    return MAGIC + HEADER.pack(len(text), compute_checksum(text)) + text
 
 
 def decode(data: bytes):
-    """The value, or Bad."""
+    """Returns the value, or BadRecord."""
     if not data.startswith(MAGIC):
-        return Bad("no record of this version")
-    if len(data) < len(MAGIC) + HEAD.size:
-        return Bad("cut short")
-    length, checksum = HEAD.unpack_from(data, len(MAGIC))
-    text = data[len(MAGIC) + HEAD.size :]
+        return BadRecord("not a record of this version")
+    if len(data) < len(MAGIC) + HEADER.size:
+        return BadRecord("cut short")
+    length, checksum = HEADER.unpack_from(data, len(MAGIC))
+    text = data[len(MAGIC) + HEADER.size :]
     if len(text) != length:
-        return Bad("cut short" if len(text) < length else "longer than it says")
-    if digest(text) != checksum:
-        return Bad("checksum does not fit")
+        return BadRecord("cut short" if len(text) < length else "longer than its length field")
+    if compute_checksum(text) != checksum:
+        return BadRecord("checksum mismatch")
     try:
         return orjson.loads(text)
-    except orjson.JSONDecodeError as fault:
-        return Bad(str(fault))
+    except orjson.JSONDecodeError as error:
+        return BadRecord(str(error))
 
 
 def write(path: str, value) -> str:
-    """What went wrong; "" if it is there."""
+    """Writes the record atomically. Returns an error, or "" on success."""
     part = f"{path}.{os.getpid()}.part"
     try:
         with suppress(FileNotFoundError):
-            os.unlink(part)  # of one killed in the middle, whose number came round
+            os.unlink(part)  # left by a killed process with the same process id
         file = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
         try:
             data = memoryview(encode(value))
@@ -66,40 +66,40 @@
         finally:
             os.close(file)
         os.rename(part, path)
-    except OSError as fault:
+    except OSError as error:
         with suppress(OSError):
             os.unlink(part)
-        return f"cannot write {path}: {fault.strerror}"
+        return f"cannot write {path}: {error.strerror}"
     return ""
 
 
 def read(path: str):
-    """The value; None if there is none; Bad."""
+    """Returns the value, None if there is no record, or BadRecord."""
     try:
         file = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK)
     except FileNotFoundError:
         return None
-    except OSError as fault:
-        return Bad(f"cannot read {path}: {fault.strerror}")
+    except OSError as error:
+        return BadRecord(f"cannot read {path}: {error.strerror}")
     try:
         found = os.fstat(file)
         if not stat.S_ISREG(found.st_mode) or found.st_uid != os.geteuid() or found.st_mode & 0o022:
-            return Bad(f"{path} is not this user's alone")
-        if found.st_size > LENGTH_MOST:
-            return Bad(f"{path} is too long")
+            return BadRecord(f"{path} is not owned and writable by this user alone")
+        if found.st_size > MAX_RECORD_BYTES:
+            return BadRecord(f"{path} is too long")
         data = b""
-        while part := os.read(file, LENGTH_MOST + 1 - len(data)):
+        while part := os.read(file, MAX_RECORD_BYTES + 1 - len(data)):
             data += part
-    except OSError as fault:
-        return Bad(f"cannot read {path}: {fault.strerror}")
+    except OSError as error:
+        return BadRecord(f"cannot read {path}: {error.strerror}")
     finally:
         os.close(file)
     value = decode(data)
-    return Bad(f"{path}: {value.reason}") if isinstance(value, Bad) else value
+    return BadRecord(f"{path}: {value.reason}") if isinstance(value, BadRecord) else value
 
 
-def mark(path: str) -> tuple | None:
-    """Changes whenever another record is put there."""
+def file_signature(path: str) -> tuple | None:
+    """Changes whenever another record is written there; None if there is none."""
     try:
         found = os.stat(path)
     except OSError:
@@ -107,38 +107,38 @@
     return found.st_ino, found.st_mtime_ns, found.st_size
 
 
-class Writer:
-    """Writes records by a thread of its own, of each path the newest.
+class RecordWriter:
+    """Writes records in a thread of its own; of several records for one path, only the newest.
 
-    Guards against a disk that holds the loop up: a rename over a file waits for its blocks on some file
-    systems, and beside eleven others that write as well it took 0.8 s.
+    A slow disk would block the event loop otherwise: on some file systems a rename over a file waits until
+    its blocks are written, which took 0.8 s beside eleven other writers.
     """
 
     def __init__(self) -> None:
-        self.next: dict[str, object] = {}  # path -> value; emptied by the thread
-        self.wrong = ""  # what went wrong with the last one
-        self.busy, self.turn, self.thread = False, threading.Condition(), None
+        self.pending: dict[str, object] = {}  # by path; emptied by the thread
+        self.error = ""  # of the last write, or ""
+        self.writing, self.condition, self.thread = False, threading.Condition(), None
 
     def put(self, path: str, value) -> None:
-        """The value is not changed afterwards."""
-        with self.turn:
-            self.next[path] = value
-            self.turn.notify_all()
+        """Queues a record; `value` must not be changed afterwards."""
+        with self.condition:
+            self.pending[path] = value
+            self.condition.notify_all()
         if self.thread is None:
             self.thread = threading.Thread(target=self._write, name="records", daemon=True)
             self.thread.start()
 
     def wait(self, seconds: float) -> bool:
-        """Whether all that was put is written by then."""
-        with self.turn:
-            return self.turn.wait_for(lambda: not self.next and not self.busy, seconds)
+        """Whether all queued records are written within `seconds`."""
+        with self.condition:
+            return self.condition.wait_for(lambda: not self.pending and not self.writing, seconds)
 
     def _write(self) -> None:
         while True:
-            with self.turn:
-                self.turn.wait_for(lambda: self.next)
-                (path, value), self.busy = self.next.popitem(), True
-            self.wrong = write(path, value)
-            with self.turn:
-                self.busy = False
-                self.turn.notify_all()
+            with self.condition:
+                self.condition.wait_for(lambda: self.pending)
+                (path, value), self.writing = self.pending.popitem(), True
+            self.error = write(path, value)
+            with self.condition:
+                self.writing = False
+                self.condition.notify_all()
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -7,9 +7,9 @@
 
 from ..bodies.room import Room
 from ..console.callers import PLACES, Callers
-from ..handover.handover import Handover, Here
-from ..handover.inherited import NotOurs, listening
-from ..handover.neighbours import Neighbours
+from ..handover.handover import Handover, HandoverCallbacks
+from ..handover.inherited import InheritedSocketError, open_inherited
+from ..handover.neighbours import ProcessRegistry
 from ..recovery.door import AdmissionControl
 from ..recovery.following import SILENCE_TIMEOUT, DiscoverySchedule
 from ..routing.attempts import Attempts
@@ -111,7 +111,7 @@
         if told.folder:
             names = [name for name, _ in sorted(told.profiles.items(), key=lambda each: each[1])]
             self.handover = Handover(
-                Neighbours(told.folder, told.name),
+                ProcessRegistry(told.folder, told.name),
                 self.owner,
                 self.clients,
                 self.watch,
@@ -119,17 +119,17 @@
                 clock,
                 names,
                 told.agreed.fall_time,
-                Here(self.accept, self.share),
+                HandoverCallbacks(self.set_accepting, self.update_descriptor_limit),
                 log.say,
             )
-            self.staff.keep = self.handover.keep_orders
+            self.staff.keep = self.handover.save_orders
 
     def sockets(self, told: StartUp) -> int:
         """Descriptors for all but the staff, who have a few of their own; half while two processes live."""
-        shared = self.handover is not None and self.handover.other
+        shared = self.handover is not None and self.handover.other_process
         return (told.sockets // 2 if shared else told.sockets) - (PLACES + 1 if told.console else 0)
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """Whether new connections are taken from the backlog that another process shares. Who takes none is
         no member any more: its successor is, under the same name."""
         if self.together is not None:
@@ -137,7 +137,7 @@
         if self.listener is not None:
             self.listener.resume() if on else self.listener.pause()
 
-    def share(self) -> None:
+    def update_descriptor_limit(self) -> None:
         self.descriptors.bound(self.sockets(self.told))
 
     async def run(self) -> None:
@@ -168,11 +168,11 @@
         """Ready only once the hosts are known to the decisions and the address is ours."""
         known, learned = self.told.known, None
         if self.handover is not None:
-            known, learned = self.handover.arrive(known)
+            known, learned = self.handover.load_state(known)
             self.watch.version = known.version
         self.owner.start(known)
         if self.handover is not None:
-            self.handover.take_over(learned)
+            self.handover.restore_state(learned)
         if self.told.console:
             self.console = self.listen(self.told.console, self.callers.take)
             self.callers.urgent.add(self.console.socket.fileno())
@@ -180,13 +180,13 @@
         inherited = None
         if self.told.inherited:
             try:
-                inherited = listening(self.told.inherited, self.told.listen)
-            except NotOurs as fault:
+                inherited = open_inherited(self.told.inherited, self.told.listen)
+            except InheritedSocketError as fault:
                 raise BadStart(f"RELAY_FD: {fault}") from None
         self.listener = listener = self.listen(self.told.listen, self.clients.take, inherited)
         listener.open()
         # guards against a successor to whom news counts as told before it has asked
-        self.watch.begin(at_once=self.handover is not None and self.handover.other)
+        self.watch.begin(at_once=self.handover is not None and self.handover.other_process)
         self.figures.begin()
         if self.together is not None:
             try:
@@ -206,7 +206,7 @@
             return
         self.clients.ready = True
         if self.handover is not None:
-            self.handover.ready()
+            self.handover.start_serving()
         self.log.say(
             "ready",
             listen=list(self.listener.address),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from basalthook.handover import record
-from basalthook.handover.inherited import NotOurs, listening
-from basalthook.handover.neighbours import Neighbours
-from basalthook.handover.record import Bad
+from basalthook.handover.inherited import InheritedSocketError, open_inherited
+from basalthook.handover.neighbours import ProcessRegistry
+from basalthook.handover.record import BadRecord
 from basalthook.policy import interface as i
 from basalthook.recovery import knowledge
 from tests import test_program
@@ -47,34 +47,34 @@
     def test_a_record_cut_or_changed_anywhere_is_bad(self, at, byte):
         whole = record.encode({"orders": ["s-1", "s-2"], "n": 12345})
         at %= len(whole)
-        self.assertIsInstance(record.decode(whole[:at]), Bad)
+        self.assertIsInstance(record.decode(whole[:at]), BadRecord)
         changed = whole[:at] + bytes([byte]) + whole[at + 1 :]
         if changed != whole:
-            self.assertIsInstance(record.decode(changed), Bad)
+            self.assertIsInstance(record.decode(changed), BadRecord)
 
     def test_what_is_not_ours_alone_is_not_read_and_what_cannot_be_written_is_said(self):
         record.write(self.path, 1)
         os.chmod(self.path, 0o662)
-        self.assertIsInstance(record.read(self.path), Bad)
+        self.assertIsInstance(record.read(self.path), BadRecord)
         os.unlink(self.path)
         os.symlink("/dev/null", self.path)
-        self.assertIsInstance(record.read(self.path), Bad)
+        self.assertIsInstance(record.read(self.path), BadRecord)
         self.assertIn("cannot write", record.write(os.path.join(self.folder.name, "none", "x"), 1))
 
     def test_a_neighbour_is_alive_until_its_end_and_one_that_was_killed_is_not(self):
-        one, other = Neighbours(self.folder.name, "n/1"), Neighbours(self.folder.name, "n/1")
-        self.assertEqual((one.arrive(), other.arrive(), one.serves()), ("", "", ""))
-        self.assertEqual((one.serve(), other.serves()), ("", one.me))
-        self.assertTrue(other.alive(one.me))
-        os.close(one.lock)  # as a kill does
-        self.assertFalse(other.alive(one.me))
-        killed = [Neighbours(self.folder.name, "n/1") for _ in range(3)]
+        one, other = ProcessRegistry(self.folder.name, "n/1"), ProcessRegistry(self.folder.name, "n/1")
+        self.assertEqual((one.register(), other.register(), one.serving_process()), ("", "", ""))
+        self.assertEqual((one.claim_serving(), other.serving_process()), ("", one.own_id))
+        self.assertTrue(other.is_alive(one.own_id))
+        os.close(one.lock_fd)  # as a kill does
+        self.assertFalse(other.is_alive(one.own_id))
+        killed = [ProcessRegistry(self.folder.name, "n/1") for _ in range(3)]
         for each in killed:
-            each.arrive()
-            os.close(each.lock)
-        other.leave()
-        other.arrive()
-        other.leave()
+            each.register()
+            os.close(each.lock_fd)
+        other.unregister()
+        other.register()
+        other.unregister()
         self.assertEqual([name for name in os.listdir(self.folder.name) if "alive" in name], [])
 
 
@@ -97,9 +97,9 @@
                 (str(server.fileno()), ("127.0.0.1", 1)),
                 (str(server.fileno()), ("127.0.0.9", address[1])),
             ):
-                with self.assertRaises(NotOurs, msg=(told, where)):
-                    listening(told, where)
-            ours = listening(str(server.fileno()), address)
+                with self.assertRaises(InheritedSocketError, msg=(told, where)):
+                    open_inherited(told, where)
+            ours = open_inherited(str(server.fileno()), address)
             self.assertEqual((ours.getsockname(), ours.getblocking()), (address, False))
             ours.detach()
 
