--- a/basalthook/__init__.py
+++ b/basalthook/__init__.py
@@ -1,3 +1,3 @@
-"""basalthook: a load balancer that lives in every client process."""
+"""basalthook: a load balancer that runs as a proxy beside every client process."""
 
 VERSION = "0.2.0"
--- a/basalthook/__main__.py
+++ b/basalthook/__main__.py
@@ -1,9 +1,9 @@
-"""python -m basalthook"""
+"""Entry point of `python -m basalthook`."""
 
 import signal
 import sys
 
-if sys.argv[1:2] == ["serve"]:  # a SIGHUP while the rest is imported would end the process
+if sys.argv[1:2] == ["serve"]:  # else a SIGHUP during the imports would end the process
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from .program.commands import main  # noqa: E402
--- a/basalthook/program/__init__.py
+++ b/basalthook/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: commands, the start-up file, the log, signals."""
+"""The program: command line, start-up file, log and signals."""
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -16,7 +16,7 @@
 from .reload import EarlyHangup
 from .service import Service
 
-FILE = click.option(
+FILE_OPTION = click.option(
     "--file",
     "path",
     envvar="RELAY_CONFIG",
@@ -24,54 +24,60 @@
     type=click.Path(dir_okay=False),
     help="The start-up file; by default what RELAY_CONFIG names.",
 )
-FLEET = click.option(
+FLEET_OPTION = click.option(
     "--fleet",
     envvar="BASALTHOOK_FLEET",
     type=click.Path(dir_okay=False),
-    help="The fleet file, if this process talks with others; by default BASALTHOOK_FLEET.",
+    help="The fleet file, if this process exchanges messages with others; by default BASALTHOOK_FLEET.",
 )
 
 
 @click.group()
 def main() -> None:
-    """A load balancer that lives in every client process."""
+    """A load balancer that runs as a proxy beside every client process."""
 
 
 @main.command()
-@FILE
-@FLEET
+@FILE_OPTION
+@FLEET_OPTION
 def serve(path: str, fleet: str | None) -> None:
-    """Run one client proxy in the foreground until SIGTERM; SIGHUP takes the file over anew."""
-    early = EarlyHangup()  # before the file is read
-    told = read(path, fleet)
-    log = Log(told.name)
+    """Run one client proxy in the foreground until SIGTERM; SIGHUP reloads the start-up file."""
+    early_hangup = EarlyHangup()  # before the file is read
+    start_up = read_start_up(path, fleet)
+    log = Log(start_up.name)
     try:
         turns = Turns()
-        run_loop(run(told, log, lambda: startup.read(path, os.environ, fleet), turns, early), turns)
-    except startup.BadStart as fault:
-        leave(fault)
+        run_loop(
+            run(start_up, log, lambda: startup.read(path, os.environ, fleet), turns, early_hangup), turns
+        )
+    except startup.StartUpError as error:
+        exit_with_error(error)
     log.close()
 
 
-async def run(told: startup.StartUp, log: Log, reread, turns: Turns, early: EarlyHangup) -> None:
-    await Service(told, log, reread, turns, early).run()
+async def run(
+    start_up: startup.StartUp, log: Log, read_again, turns: Turns, early_hangup: EarlyHangup
+) -> None:
+    await Service(start_up, log, read_again, turns, early_hangup).run()
 
 
 @main.command()
-@FILE
-@FLEET
+@FILE_OPTION
+@FLEET_OPTION
 def check(path: str, fleet: str | None) -> None:
-    """Read the start-up file and say what it holds, without starting anything."""
-    told = read(path, fleet)
+    """Read the start-up file and print a summary, without starting anything."""
+    start_up = read_start_up(path, fleet)
     click.echo(
-        f"{told.name}: listens on {told.listen[0]}:{told.listen[1]}, discovery at {told.discovery[0]}:"
-        f"{told.discovery[1]}, {len(told.known.lines)} hosts known, {len(told.profiles)} profiles, "
-        f"{told.sockets} descriptors"
+        f"{start_up.name}: listens on {start_up.listen[0]}:{start_up.listen[1]}, "
+        f"discovery at {start_up.discovery[0]}:{start_up.discovery[1]}, "
+        f"{len(start_up.known_hosts.lines)} hosts known, {len(start_up.profiles)} profiles, "
+        f"{start_up.sockets} descriptors"
     )
-    if told.fleet is not None:
+    if start_up.fleet is not None:
         click.echo(
-            f"{told.fleet.name or told.name}: talks on {told.fleet.listen[0]}:{told.fleet.listen[1]}, "
-            f"{len(told.fleet.seeds)} seeds, {len(told.fleet.limits)} limits"
+            f"{start_up.fleet.name or start_up.name}: "
+            f"talks on {start_up.fleet.listen[0]}:{start_up.fleet.listen[1]}, "
+            f"{len(start_up.fleet.seeds)} seeds, {len(start_up.fleet.limits)} limits"
         )
 
 
@@ -80,18 +86,18 @@
 @click.option("--seconds", default=2.0, show_default=True, help="How long to wait for the answer.")
 def health(address: str, seconds: float) -> None:
     """Ask a running client proxy at ADDRESS (host:port) whether it is ready; exit with 1 if it is not."""
-    staffline.ask(address, seconds, "GET", HEALTH)
+    staffline.send_request(address, seconds, "GET", HEALTH)
 
 
 @main.command()
 @click.argument("old", type=click.Path(dir_okay=False))
-@click.option("--output", type=click.Path(dir_okay=False), help="Where to; else standard output.")
-@click.option("--replace", is_flag=True, help="Write even where the output exists, the old file included.")
-@click.option("--drop-unknown", is_flag=True, help="Leave out names that this program does not read.")
-@click.option("--dry-run", is_flag=True, help="Say what would be done, and change nothing.")
-@click.option("--listen", help="The address that the pool's clients reach.")
-@click.option("--balancers", type=int, help="How many proxies the pool has.")
-@click.option("--position", type=int, help="This proxy's place in the pool, from 0.")
+@click.option("--output", type=click.Path(dir_okay=False), help="The new file; by default standard output.")
+@click.option("--replace", is_flag=True, help="Overwrite the output file if it exists, also if it is OLD.")
+@click.option("--drop-unknown", is_flag=True, help="Leave out fields that this program does not read.")
+@click.option("--dry-run", is_flag=True, help="Print what would be done, and write nothing.")
+@click.option("--listen", help="The address that clients of the pool connect to.")
+@click.option("--balancers", type=int, help="Number of proxies in the pool.")
+@click.option("--position", type=int, help="Position of this proxy in the pool, from 0.")
 def migrate(
     old: str,
     output: str | None,
@@ -102,60 +108,62 @@
     balancers: int | None,
     position: int | None,
 ) -> None:
-    """Turn the start-up file OLD into one of the new shape: a pushed list, weights that move with load.
+    """Migrate the start-up file OLD to the new format: pushed host list, live weights.
 
-    What was done and what could not be goes to standard error. Exit code 0: done; 1: something is to be
-    decided by hand; 2: nothing could be read or written.
+    What was changed and what is left to decide goes to standard error. Exit code 0: done; 1: something is
+    to be decided by hand; 2: nothing could be read or written.
     """
-    given = {"listen": listen, "settings.balancers": balancers, "settings.position": position}
+    overrides = {"listen": listen, "settings.balancers": balancers, "settings.position": position}
     try:
-        done = migration.migrate(startup.load(old), {p: v for p, v in given.items() if v is not None})
-        startup.decode(done.new, os.environ, old)
-    except startup.BadStart as fault:
-        leave(fault)
-    except ValueError as fault:
-        leave(startup.BadStart(f"{old}: {fault}"))
-    for line in done.carried:
+        migrated = migration.migrate(startup.load(old), {p: v for p, v in overrides.items() if v is not None})
+        startup.decode(migrated.new, os.environ, old)
+    except startup.StartUpError as error:
+        exit_with_error(error)
+    except ValueError as error:
+        exit_with_error(startup.StartUpError(f"{old}: {error}"))
+    for line in migrated.changes:
         click.echo(f"changed  {line}", err=True)
-    for path in done.unknown:
-        gone = ", left out" if drop_unknown else ""
-        click.echo(f"unknown  {path}: not read by this program{gone}", err=True)
-    for path, why in done.by_hand.items():
-        click.echo(f"by hand  {path}: {why}", err=True)
-    if done.already:
-        click.echo(f"basalthook: {old} is of the new shape already; nothing is written", err=True)
-        sys.exit(1 if done.unknown else 0)
-    if done.unknown and not drop_unknown:
+    for path in migrated.unknown:
+        note = ", left out" if drop_unknown else ""
+        click.echo(f"unknown  {path}: not read by this program{note}", err=True)
+    for path, reason in migrated.manual_steps.items():
+        click.echo(f"by hand  {path}: {reason}", err=True)
+    if migrated.already_migrated:
+        click.echo(f"basalthook: {old} has the new shape already; nothing is written", err=True)
+        sys.exit(1 if migrated.unknown else 0)
+    if migrated.unknown and not drop_unknown:
         click.echo("basalthook: nothing is written; --drop-unknown leaves these out", err=True)
         sys.exit(1)
     if not dry_run and output is None:
-        click.echo(migration.worded(done.new), nl=False)
+        click.echo(migration.to_json(migrated.new), nl=False)
     elif not dry_run:
         if os.path.exists(output) and not replace:
-            leave(startup.BadStart(f"{output} exists; --replace writes over it"))
+            exit_with_error(startup.StartUpError(f"{output} exists; --replace overwrites it"))
         try:
-            migration.write(output, done.new)
-        except OSError as fault:
-            leave(startup.BadStart(f"cannot write {output}: {fault.strerror}"))
-    sys.exit(1 if done.by_hand else 0)
+            migration.write(output, migrated.new)
+        except OSError as error:
+            exit_with_error(startup.StartUpError(f"cannot write {output}: {error.strerror}"))
+    sys.exit(1 if migrated.manual_steps else 0)
 
 
 @main.command("try")
-@click.option("--scenario", type=click.Path(dir_okay=False), help="Another scenario than the built-in one.")
-@click.option("--seed", type=click.IntRange(0), help="In place of the scenario's own.")
-@click.option("--seconds", type=click.FloatRange(1, 600), help="In place of the scenario's own; faults stay.")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the result there as well.")
+@click.option("--scenario", type=click.Path(dir_okay=False), help="A scenario in place of the built-in one.")
+@click.option("--seed", type=click.IntRange(0), help="Seed in place of the scenario's own.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 600), help="Duration in place of the scenario's; faults stay."
+)
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Also write the result to this file.")
 def try_it(scenario: str | None, seed: int | None, seconds: float | None, out: str | None) -> None:
-    """Play a proxy before stand-in hosts on loopback: a host is killed and comes back, a table shows it.
+    """Run a proxy against simulated hosts on loopback: one is killed and restarted; a table shows the effect.
 
     Exit code 0: the four rules held; 3: one broke; 2: the scenario is bad.
     """
-    in_lab(lambda command: command.trial(scenario, seed, seconds, out))
+    run_in_lab(lambda command: command.trial(scenario, seed, seconds, out))
 
 
 @main.group()
 def lab() -> None:
-    """The project's own model of hosts, clients and faults; needs the extra [lab]."""
+    """Simulations of hosts, clients and faults; needs the extra [lab]."""
 
 
 @lab.command("run")
@@ -166,62 +174,66 @@
     default="decisions",
     show_default=True,
 )
-@click.option("--seed", type=click.IntRange(0), help="In place of the scenario's own.")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the result there as well.")
+@click.option("--seed", type=click.IntRange(0), help="Seed in place of the scenario's own.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Also write the result to this file.")
 def lab_run(scenario: str, depth: str, seed: int | None, out: str | None) -> None:
-    """Play SCENARIO: the decisions of all its proxies in virtual time, one proxy on loopback sockets, or all
-    of them as processes of their own with faults between them.
+    """Run SCENARIO: the decisions of all its proxies in virtual time, one proxy on loopback sockets, or all
+    of them as separate processes with faults between them.
 
     Exit code 0: the four rules held; 3: one broke; 2: the scenario is bad.
     """
-    in_lab(lambda command: command.run(scenario, depth, seed, out))
+    run_in_lab(lambda command: command.run(scenario, depth, seed, out))
 
 
 @lab.command("soak")
 @click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="The first seed.")
-@click.option("--count", type=click.IntRange(1, 1000), default=50, show_default=True, help="How many seeds.")
-@click.option("--minutes", type=click.FloatRange(0, min_open=True), help="No day begins after that.")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the results there as well.")
+@click.option("--count", type=click.IntRange(1, 1000), default=50, show_default=True, help="Number of seeds.")
+@click.option("--minutes", type=click.FloatRange(0, min_open=True), help="Start no day after this time.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Also write the results to this file.")
 def lab_soak(first: int, count: int, minutes: float | None, out: str | None) -> None:
-    """Play short days of many faults at once on real processes, one drawn from each seed.
+    """Run short days of many faults at once on real processes, one drawn from each seed.
 
-    Of a broken day the command that plays it again is shown, and the timeline of its first offence.
+    For a day that breaks a rule, prints the command that repeats it and the timeline of the first violation.
 
     Exit code 0: all rules held; 3: one broke.
     """
-    in_lab(lambda command: command.soaked(first, count, minutes, out))
+    run_in_lab(lambda command: command.soaked(first, count, minutes, out))
 
 
-def in_lab(play) -> NoReturn:
-    """The lab and what it needs are loaded here, and nowhere else in the program."""
+def run_in_lab(play) -> NoReturn:
+    """Imports the lab, which nothing else in the program does, and runs `play`; exit code 3: a rule broke."""
     try:
         from ..lab import command
-    except ModuleNotFoundError as fault:
-        leave(startup.BadStart(f"the lab needs {fault.name}: install the extra [lab] (requirements-lab.txt)"))
+    except ModuleNotFoundError as error:
+        exit_with_error(
+            startup.StartUpError(
+                f"the lab needs {error.name}: install the extra [lab] (requirements-lab.txt)"
+            )
+        )
     try:
-        kept = play(command)
-    except command.Failed as fault:
-        leave(startup.BadStart(str(fault)))
-    sys.exit(0 if kept else 3)
+        passed = play(command)
+    except command.Failed as error:
+        exit_with_error(startup.StartUpError(str(error)))
+    sys.exit(0 if passed else 3)
 
 
 @main.command()
 def version() -> None:
-    """Say which version this is."""
+    """Print the version."""
     click.echo(f"basalthook {VERSION}")
 
 
-for staffs in (*staffline.COMMANDS, *fleetline.COMMANDS):
-    main.add_command(staffs)
+for operator_command in (*staffline.COMMANDS, *fleetline.COMMANDS):
+    main.add_command(operator_command)
 
 
-def read(path: str, fleet: str | None = None) -> startup.StartUp:
+def read_start_up(path: str, fleet: str | None = None) -> startup.StartUp:
     try:
         return startup.read(path, os.environ, fleet)
-    except startup.BadStart as fault:
-        leave(fault)
+    except startup.StartUpError as error:
+        exit_with_error(error)
 
 
-def leave(fault: startup.BadStart) -> NoReturn:
-    click.echo(f"basalthook: {fault}", err=True)
+def exit_with_error(error: startup.StartUpError) -> NoReturn:
+    click.echo(f"basalthook: {error}", err=True)
     sys.exit(2)
--- a/basalthook/program/figures.py
+++ b/basalthook/program/figures.py
@@ -1,4 +1,4 @@
-"""A line of figures in the log at a steady pace: what an operator plots, and raises alarms on."""
+"""Writes metrics to the log at a fixed interval, for plots and alerts."""
 
 from ..routing.attempts import Attempts
 from ..routing.clients import Clients
@@ -6,11 +6,11 @@
 from ..routing.watch import Watch
 from ..transport.timers import Timers
 
-EVERY = 10.0  # seconds between two lines
+INTERVAL_S = 10.0
 
 
-class Figures:
-    """Counts are since the start of the process; `list_age_s` is the time since discovery last answered."""
+class MetricsLog:
+    """Logs counts since the start of the process; `list_age_s` is the time since discovery last answered."""
 
     def __init__(
         self, owner: Owner, clients: Clients, attempts: Attempts, watch: Watch, timers: Timers, log
@@ -19,15 +19,15 @@
         self.timers, self.log = timers, log
 
     def begin(self) -> None:
-        self.timers.set(int(EVERY * self.timers.second), self.write)
+        self.timers.set(int(INTERVAL_S * self.timers.second), self.write)
 
     def write(self) -> None:
-        following = self.watch.following
+        schedule = self.watch.following
         self.log(
             "figures",
             list_age_s=round(self.watch.age(), 1),
-            list_failures=following.failures,
-            list_urgent=following.urgent,
+            list_failures=schedule.failures,
+            list_urgent=schedule.urgent,
             list_calls=self.watch.calls_begun,
             endpoints_ready=sum(place.ready for place in self.owner.roster.places.values()),
             requests_open=len(self.owner.orders),
--- a/basalthook/program/fleetline.py
+++ b/basalthook/program/fleetline.py
@@ -1,4 +1,4 @@
-"""What operators ask of a process that talks with others: who is a member, which hosts are out and why."""
+"""Commands that show the fleet as one process sees it: members, verdicts on hosts, limits."""
 
 import http.client
 import json
@@ -10,58 +10,62 @@
 from ..console import calls
 from ..protocol import catalogue
 
-ADDRESS = click.argument("address", metavar="HOST:PORT")
-SECONDS = click.option("--seconds", default=2.0, show_default=True, help="How long to wait for the answer.")
-JSON = click.option("--json", "plain", is_flag=True, help="A JSON line for each, as the process tells it.")
+ADDRESS_ARGUMENT = click.argument("address", metavar="HOST:PORT")
+SECONDS_OPTION = click.option(
+    "--seconds", default=2.0, show_default=True, help="How long to wait for the answer."
+)
+JSON_OPTION = click.option(
+    "--json", "plain", is_flag=True, help="A JSON line for each, as the process tells it."
+)
 
 
-def rows(address: str, seconds: float, what: str) -> list[dict]:
-    """What the process at its second address tells; exits with 1 where it tells nothing."""
-    method, path = calls.call(what)
+def fetch_rows(address: str, seconds: float, action: str) -> list[dict]:
+    """The rows that the process returns at its second address; exits with code 1 if there is no answer."""
+    method, path = calls.call(action)
     try:
-        where, port = catalogue.address(address)
-        connection = http.client.HTTPConnection(where, port, timeout=seconds)
+        host_name, port = catalogue.address(address)
+        connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
         connection.request(method, path)
         answer = connection.getresponse()
         text = answer.read().decode()
         connection.close()
-    except ValueError as fault:
-        raise click.UsageError(str(fault)) from None
-    except (OSError, http.client.HTTPException) as fault:
-        leave(f"no answer from {address}: {fault}")
+    except ValueError as error:
+        raise click.UsageError(str(error)) from None
+    except (OSError, http.client.HTTPException) as error:
+        fail(f"no answer from {address}: {error}")
     if answer.status != 200:
-        leave(text.strip())
+        fail(text.strip())
     return [json.loads(line) for line in text.splitlines() if line]
 
 
-def leave(why: str) -> NoReturn:
-    click.echo(f"basalthook: {why}", err=True)
+def fail(reason: str) -> NoReturn:
+    click.echo(f"basalthook: {reason}", err=True)
     sys.exit(1)
 
 
-def show(found: list[dict], plain: bool, title: str, columns: tuple[str, ...], cells) -> None:
+def print_rows(rows: list[dict], plain: bool, title: str, columns: tuple[str, ...], cells) -> None:
     if plain:
-        for row in found:
+        for row in rows:
             click.echo(json.dumps(row))
         return
     from rich.console import Console  # loaded only here
     from rich.table import Table
 
     table = Table(*columns, title=title)
-    for row in found:
+    for row in rows:
         table.add_row(*cells(row))
     Console().print(table)
 
 
 @click.command()
-@ADDRESS
-@SECONDS
-@JSON
+@ADDRESS_ARGUMENT
+@SECONDS_OPTION
+@JSON_OPTION
 def members(address: str, seconds: float, plain: bool) -> None:
     """Who the process with its second address at HOST:PORT holds for alive, suspect or dead."""
-    found = rows(address, seconds, calls.MEMBERS)
+    found = fetch_rows(address, seconds, calls.MEMBERS)
     living = sum(row["state"] != "dead" for row in found)
-    show(
+    print_rows(
         found,
         plain,
         f"{living} live of {len(found)}",
@@ -76,28 +80,28 @@
     )
 
 
-def evidence(row: dict) -> str:
-    """Who says what of a host, and how old that is against how long it counts; a line each."""
-    words = [
+def format_evidence(row: dict) -> str:
+    """The evidence of each member on a host, with its age and how long it is valid; a line each."""
+    evidence = [
         f"{w['by']}: {w['late']} late, {w['lost']} lost, {w['errors']} errors, {w['answers']} answers; "
         f"{w['age_ms'] / 1000:.1f} of {w['life_ms'] / 1000:.0f} s"
         for w in row["words"]
     ]
-    tried = [
+    trials = [
         f"{t['by']}: trial {t['round']} {t['phase']}; {t['age_ms'] / 1000:.1f} of {t['life_ms'] / 1000:.0f} s"
         for t in row["trials"]
     ]
-    return "\n".join(words + tried)
+    return "\n".join(evidence + trials)
 
 
 @click.command()
-@ADDRESS
-@SECONDS
-@JSON
+@ADDRESS_ARGUMENT
+@SECONDS_OPTION
+@JSON_OPTION
 def verdicts(address: str, seconds: float, plain: bool) -> None:
     """Which hosts are out or on their way back, why, who says so, and how old that is against its life."""
-    found = rows(address, seconds, calls.VERDICTS)
-    show(
+    found = fetch_rows(address, seconds, calls.VERDICTS)
+    print_rows(
         found,
         plain,
         f"{len(found)} hosts",
@@ -108,7 +112,7 @@
             f"{row['since_ms'] / 1000:.1f} s",
             row["reason"],
             ", ".join(row["by"]),
-            evidence(row),
+            format_evidence(row),
         ),
     )
 
@@ -118,16 +122,16 @@
 @click.argument("path", metavar="[FILE]", required=False, type=click.Path(dir_okay=False))
 @click.option("--proxies", default=2, show_default=True, help="With explain: how many proxies there are.")
 @click.option("--hard-limit", default=2.0, show_default=True, help="With explain: the longest, in seconds.")
-@SECONDS
-@JSON
+@SECONDS_OPTION
+@JSON_OPTION
 def limits(what: str, path: str | None, proxies: int, hard_limit: float, seconds: float, plain: bool) -> None:
     """This proxy's part of each limit, its age, and what it refused; or, with `explain FILE`, what is
     promised of the limits of a fleet file."""
     if what == "explain":
         explain(path, proxies, hard_limit, plain)
         return
-    found = rows(what, seconds, calls.LIMITS)
-    show(
+    found = fetch_rows(what, seconds, calls.LIMITS)
+    print_rows(
         found,
         plain,
         f"{len(found)} limits",
@@ -151,11 +155,11 @@
     if path is None:
         raise click.UsageError("explain: FILE is missing")
     try:
-        told = fleet.read(path)
-    except fleet.BadFleet as fault:
-        leave(str(fault))
-    longest, found = int(hard_limit * bounds.TICKS), []
-    for row in told.limits:
+        config = fleet.read(path)
+    except fleet.BadFleet as error:
+        fail(str(error))
+    hard_limit_ticks, found = int(hard_limit * bounds.TICKS), []
+    for row in config.limits:
         limit = bounds.Limit(row.name, row.kind, row.amount, row.burst, (), row.over, row.floor)
         own = (
             f"{int(limit.floor * limit.amount)} places a host over all proxies"
@@ -171,11 +175,11 @@
                 "own": own,
                 "over_most": limit.over_bound(),
                 "stale_s": limit.stale() / bounds.TICKS,
-                "unused_after_death_s": limit.unused_after_death(longest) / bounds.TICKS,
-                "paused_after_keeper_s": limit.paused_after_keeper(longest) / bounds.TICKS,
+                "unused_after_death_s": limit.unused_after_death(hard_limit_ticks) / bounds.TICKS,
+                "paused_after_keeper_s": limit.paused_after_keeper(hard_limit_ticks) / bounds.TICKS,
             }
         )
-    show(
+    print_rows(
         found,
         plain,
         f"{len(found)} limits before {proxies} proxies",
--- a/basalthook/program/log.py
+++ b/basalthook/program/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output. A slow reader never stalls the loop."""
+"""The log: one JSON line for each event on standard output. A slow reader never blocks the event loop."""
 
 import os
 import sys
@@ -8,12 +8,12 @@
 
 import orjson
 
-WAITING_MOST = 8192  # events; more are dropped and counted
-GATHER = 0.05  # seconds between two looks of the writer: one wake-up an event costs more
+MAX_QUEUED_EVENTS = 8192  # more are dropped and counted
+WRITE_INTERVAL_S = 0.05  # events are written in batches: a wake-up for each event costs more
 
 
-def worded(line: dict) -> bytes:
-    """As JSON; of what can't be worded (a lone surrogate, a number that is too long) its Python form."""
+def to_json(line: dict) -> bytes:
+    """The line as JSON. If a value can't be encoded (a lone surrogate, a long number), all as `ascii()`."""
     try:
         return orjson.dumps(line, default=str)
     except (TypeError, ValueError, RecursionError):
@@ -21,39 +21,39 @@
 
 
 class Log:
-    """Events are handed over as they are; the writer's thread words and writes them, many in one call."""
+    """Queues events unformatted; a thread formats them and writes many in one call."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.dropped, self.ending = name, 0, threading.Event()
-        self.events: deque[tuple] = deque()  # emptied by the writer
+        self.name, self.dropped, self.stopped = name, 0, threading.Event()
+        self.queue: deque[tuple] = deque()  # emptied by the writer thread
         self.writer = threading.Thread(target=self._write, name="log", daemon=True)
         self.writer.start()
 
     def say(self, event: str, **fields) -> None:
-        if len(self.events) >= WAITING_MOST:
+        if len(self.queue) >= MAX_QUEUED_EVENTS:
             self.dropped += 1
             return
         if self.dropped:
             fields["dropped"], self.dropped = self.dropped, 0
-        self.events.append((time.time(), self.name, event, fields))
+        self.queue.append((time.time(), self.name, event, fields))
 
     def close(self, seconds: float = 0.3) -> None:
-        """Give the writer a moment to finish, no more: its reader may have stopped reading."""
-        self.ending.set()
+        """Waits `seconds` at most for the writer: nobody may be reading the log any more."""
+        self.stopped.set()
         self.writer.join(seconds)
 
     def _write(self) -> None:
         target, ending = sys.stdout.fileno(), False
         while not ending:
-            ending = self.ending.wait(GATHER)
+            ending = self.stopped.wait(WRITE_INTERVAL_S)
             lines = []
-            while self.events:
-                at, name, event, fields = self.events[0]
-                lines.append(worded({"at": round(at, 4), "proxy": name, "event": event, **fields}))
-                self.events.popleft()
+            while self.queue:
+                at, name, event, fields = self.queue[0]
+                lines.append(to_json({"at": round(at, 4), "proxy": name, "event": event, **fields}))
+                self.queue.popleft()
             data = b"\n".join([*lines, b""])
             try:
                 while data:
                     data = data[os.write(target, data) :]
-            except OSError:  # nobody reads the log: the service goes on
+            except OSError:  # the log has no reader; the service goes on
                 continue
--- a/basalthook/program/migrate.py
+++ b/basalthook/program/migrate.py
@@ -1,4 +1,4 @@
-"""From a start-up file of the old shape to the new: a pushed list, weights that move with load, a pool."""
+"""Migrates a start-up file to the new format: pushed host list, live weights, a pool of proxies."""
 
 import copy
 import os
@@ -7,9 +7,9 @@
 
 import orjson
 
-# What is read of a start-up file, by name; True ends a branch, a list of one is a list of such.
-HOST = dict.fromkeys(("id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"), True)
-PROFILE = dict.fromkeys(
+# Fields of a start-up file that are read. True: a leaf; a list of one element: a list of such elements.
+HOST_FIELDS = dict.fromkeys(("id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"), True)
+PROFILE_FIELDS = dict.fromkeys(
     (
         "name",
         "effect",
@@ -22,21 +22,21 @@
     ),
     True,
 )
-READ = {
+KNOWN_FIELDS = {
     "name": True,
     "listen": True,
     "console": True,
     "discovery": True,
     "seed": True,
     "limits": {"sockets": True, "memory_mb": True},
-    "known": {"version": True, "full": True, "servers": [HOST]},
+    "known": {"version": True, "full": True, "servers": [HOST_FIELDS]},
     "settings": {
         "position": True,
         "balancers": True,
         "zone": True,
         "discovery": True,
         "weights": True,
-        "profiles": [PROFILE],
+        "profiles": [PROFILE_FIELDS],
         "areas": True,
         "host_types": True,
         "allowed": dict.fromkeys(
@@ -68,10 +68,10 @@
         "family_info": {"warm_keys": True},
     },
 }
-# What the new shape says in place of what the old one said.
-CHANGED = {"discovery": "pushed", "weights": "live"}
-# What only the operator knows of a pool: carried as it was, unless told.
-BY_HAND = {
+# Settings that the migration replaces.
+NEW_VALUES = {"discovery": "pushed", "weights": "live"}
+# Fields whose new value only the operator knows; copied unchanged unless a value is given.
+MANUAL_FIELDS = {
     "listen": "clients come from other machines now: the address they, or the front before them, reach",
     "settings.balancers": "how many proxies the pool has, no longer how many client processes",
     "settings.position": "this proxy's place in the pool, from 0",
@@ -79,63 +79,72 @@
 
 
 class Migration(NamedTuple):
+    """The result of a migration."""
+
     new: dict
-    carried: list[str]
-    unknown: list[str]  # paths that this program does not read
-    by_hand: dict[str, str]  # path -> what is to be decided
-    already: bool
+    changes: list[str]
+    unknown: list[str]  # paths of fields that this program does not read
+    manual_steps: dict[str, str]  # path -> what the operator has to decide
+    already_migrated: bool
+
 
+def migrate(old: dict, overrides: dict | None = None) -> Migration:
+    """Migrates `old`, which is left unchanged. `overrides`: the operator's values by path.
 
-def migrate(old: dict, given: dict | None = None) -> Migration:
-    """`given`: by path, what the operator told for the new shape. `old` is left as it is."""
+    Raises ValueError if `old` is no start-up file.
+    """
     if not isinstance(old, dict) or not isinstance(old.get("settings"), dict):
         raise ValueError("no start-up file: 'settings' is missing or no object")
-    settings, given = old["settings"], given or {}
-    already = all(settings.get(name) == value for name, value in CHANGED.items())
+    settings, overrides = old["settings"], overrides or {}
+    already_migrated = all(settings.get(name) == value for name, value in NEW_VALUES.items())
     unknown: list[str] = []
-    new = _known(copy.deepcopy(old), READ, "", unknown)
-    carried = [
+    new = _known(copy.deepcopy(old), KNOWN_FIELDS, "", unknown)
+    changes = [
         f"settings.{name}: {settings.get(name)!r} becomes {value!r}"
-        for name, value in CHANGED.items()
+        for name, value in NEW_VALUES.items()
         if settings.get(name) != value
     ]
-    new["settings"].update(CHANGED)
-    for path, value in given.items():
+    new["settings"].update(NEW_VALUES)
+    for path, value in overrides.items():
         place, name = (new["settings"], path.split(".")[1]) if "." in path else (new, path)
         if place.get(name) != value:
-            carried.append(f"{path}: {place.get(name)!r} becomes {value!r}, as told")
+            changes.append(f"{path}: {place.get(name)!r} becomes {value!r}, as told")
         place[name] = value
-    by_hand = {} if already else {path: why for path, why in BY_HAND.items() if path not in given}
-    return Migration(new, carried, unknown, by_hand, already)
+    manual_steps = (
+        {}
+        if already_migrated
+        else {path: reason for path, reason in MANUAL_FIELDS.items() if path not in overrides}
+    )
+    return Migration(new, changes, unknown, manual_steps, already_migrated)
 
 
-def _known(value, read, path: str, unknown: list[str]):
-    """What is read of it; the paths of all else go to `unknown`."""
-    if isinstance(read, list) and isinstance(value, list):
-        return [_known(each, read[0], f"{path}[{n}]", unknown) for n, each in enumerate(value)]
-    if not isinstance(read, dict) or not isinstance(value, dict):
-        return value  # of a wrong shape: the check of the whole says so
-    unknown += [f"{path}.{name}".lstrip(".") for name in value if name not in read]
+def _known(value, fields, path: str, unknown: list[str]):
+    """Copies the fields that are read; the paths of all others are added to `unknown`."""
+    if isinstance(fields, list) and isinstance(value, list):
+        return [_known(item, fields[0], f"{path}[{n}]", unknown) for n, item in enumerate(value)]
+    if not isinstance(fields, dict) or not isinstance(value, dict):
+        return value  # a wrong type is reported when the whole file is decoded
+    unknown += [f"{path}.{name}".lstrip(".") for name in value if name not in fields]
     return {
-        name: _known(each, read[name], f"{path}.{name}", unknown)
-        for name, each in value.items()
-        if name in read
+        name: _known(item, fields[name], f"{path}.{name}", unknown)
+        for name, item in value.items()
+        if name in fields
     }
 
 
-def worded(new: dict) -> bytes:
+def to_json(new: dict) -> bytes:
     return orjson.dumps(new, option=orjson.OPT_INDENT_2) + b"\n"
 
 
 def write(path: str, new: dict) -> None:
-    """Whole or not at all: beside it first, then renamed."""
-    handle, beside = tempfile.mkstemp(dir=os.path.dirname(os.path.abspath(path)), prefix=".migrate-")
+    """Writes atomically: to a temporary file in the same folder, which is then renamed."""
+    handle, temporary = tempfile.mkstemp(dir=os.path.dirname(os.path.abspath(path)), prefix=".migrate-")
     try:
         with os.fdopen(handle, "wb") as file:
-            file.write(worded(new))
+            file.write(to_json(new))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
     except OSError:
-        os.unlink(beside)
+        os.unlink(temporary)
         raise
--- a/basalthook/program/reload.py
+++ b/basalthook/program/reload.py
@@ -1,48 +1,50 @@
-"""SIGHUP: the start-up file is read again, and once more for a while where it can't be taken as it is."""
+"""SIGHUP: reads the start-up file again, and retries for a while if it can't be applied."""
 
 import signal
 
 from ..transport.timers import Timers
-from .startup import BadStart, StartUp
+from .startup import StartUp, StartUpError
 
-READ_AGAIN = 0.1  # seconds between two looks at a file that was refused
-LOOKS = 30  # then it is left; news of another discovery counts 4 s after SIGHUP
+RETRY_INTERVAL_S = 0.1  # between two reads of a file that was refused
+MAX_READS = 30  # in all 3 s; the list of another discovery takes effect 4 s after SIGHUP
 
 
 class EarlyHangup:
-    """Notes SIGHUP until the event loop handles it: the file may have changed since it was read."""
+    """Records a SIGHUP that comes before the event loop handles it: the file may have changed since."""
 
     def __init__(self) -> None:
-        self.came = False
-        signal.signal(signal.SIGHUP, self.note)
+        self.received = False
+        signal.signal(signal.SIGHUP, self.on_signal)
 
-    def note(self, *_) -> None:
-        self.came = True
+    def on_signal(self, *_) -> None:
+        self.received = True
 
 
-class Reload:
-    def __init__(self, read, take, timers: Timers, log) -> None:
-        """`read()` gives a StartUp or raises BadStart; `take(StartUp)` puts it in force."""
-        self.read, self.take, self.timers, self.log = read, take, timers, log
-        self.timer, self.looks = None, 0
+class Reloader:
+    """Reads the start-up file at SIGHUP; a file that can't be applied changes nothing."""
 
-    def hangup(self) -> None:
-        """A signal: whatever was refused before, the file of now counts."""
+    def __init__(self, read, apply, timers: Timers, log) -> None:
+        """`read()` returns a StartUp or raises StartUpError; `apply(StartUp)` puts it into effect."""
+        self.read, self.apply, self.timers, self.log = read, apply, timers, log
+        self.timer, self.reads = None, 0
+
+    def on_hangup(self) -> None:
+        """Starts over at each signal, also while a refused file is being retried."""
         self.timers.cancel(self.timer)
-        self.timer, self.looks = None, 0
-        self.look()
+        self.timer, self.reads = None, 0
+        self.read_file()
 
-    def look(self) -> None:
-        self.looks += 1
+    def read_file(self) -> None:
+        self.reads += 1
         try:
-            told: StartUp = self.read()
-        except BadStart as fault:  # guards against half a file: what is in force stays
-            return self.refuse(str(fault))
-        self.take(told)
+            start_up: StartUp = self.read()
+        except StartUpError as error:  # for example half a file; the present settings stay
+            return self.refuse(str(error))
+        self.apply(start_up)
 
     def refuse(self, reason: str) -> None:
-        again = self.looks < LOOKS  # who writes it may not be done
-        if self.looks == 1 or not again:
-            self.log("file refused", reason=reason, looks=self.looks, looks_again=again)
-        if again:
-            self.timer = self.timers.set(int(READ_AGAIN * self.timers.second), self.look)
+        retry = self.reads < MAX_READS  # it may still be being written
+        if self.reads == 1 or not retry:
+            self.log("file refused", reason=reason, looks=self.reads, looks_again=retry)
+        if retry:
+            self.timer = self.timers.set(int(RETRY_INTERVAL_S * self.timers.second), self.read_file)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -1,4 +1,4 @@
-"""The running client proxy: its parts put together, its start, its end."""
+"""The running client proxy: builds its parts, starts it and shuts it down."""
 
 import asyncio
 import gc
@@ -26,52 +26,81 @@
 from ..transport.listener import Listener
 from ..transport.timers import Timers
 from ..transport.turns import Turns
-from .figures import Figures
+from .figures import MetricsLog
 from .log import Log
-from .reload import EarlyHangup, Reload
-from .startup import BadStart, StartUp
+from .reload import EarlyHangup, Reloader
+from .startup import StartUp, StartUpError
 
-BUFFER = 16 * 1024
-BUFFERS_KEPT = 128
-ACCEPT_ON = 0.6  # seconds after SIGTERM: new connections still come for up to 0.4 s
+BUFFER_BYTES = 16 * 1024
+MAX_POOLED_BUFFERS = 128
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections still arrive for up to 0.4 s after SIGTERM
+# Fields of StartUp that a reload does not change; the log line `file taken` names those that differ.
 AT_START_ONLY = ("listen", "console", "inherited", "folder", "agreed", "profiles", "fleet")
-DOOR = 0xD008  # sets the door's chance apart from the decisions', which must not follow it
-KILL_AFTER = 0.7  # seconds after SIGTERM, beyond the longest deadline: SIGKILL comes no sooner
-ANSWERED_BEFORE = 0.2  # seconds before it by which all is answered: SIGTERM may have been noticed late
-RESTED = 0.3  # seconds without a request after which the next one is not just being sent
-READ_ON = 0.1  # seconds for what the last of them carry
+# Seeds a random generator of its own: drawing from the policy's generator would change its decisions.
+ADMISSION_SEED_MASK = 0xD008
+SIGKILL_DELAY_S = 0.7  # SIGKILL comes no sooner than the longest deadline and this after SIGTERM
+ANSWER_MARGIN_S = 0.2  # all is answered this long before SIGKILL, as SIGTERM may be noticed late
+MIN_IDLE_S = 0.3  # idle this long, a connection is unlikely to have a request on its way
+READ_PERIOD_S = 0.1  # for requests on the connections accepted last
 
 
 class Service:
+    """One client proxy: `run` starts it and returns after shutdown."""
+
     def __init__(
         self,
-        told: StartUp,
+        start_up: StartUp,
         log: Log,
-        reread=None,
+        read_start_up=None,
         turns: Turns | None = None,
-        early: EarlyHangup | None = None,
+        early_hangup: EarlyHangup | None = None,
     ) -> None:
-        """`turns`: of the loop this runs on; without them it can't tell its own lateness from silence."""
-        self.told, self.log, self.early, self.ending = told, log, early, asyncio.Event()
+        """`turns`: of the event loop; without them, own lateness can't be told from the silence of hosts."""
+        self.start_up, self.log, self.early_hangup, self.stop_requested = (
+            start_up,
+            log,
+            early_hangup,
+            asyncio.Event(),
+        )
         self.handover: Handover | None = None
         self.clock = clock = Clock()
-        roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
+        roster = Roster(start_up.agreed.only_draining_binds, Starts(clock.now))
         self.timers = timers = Timers(clock.now, TICKS)
-        self.reload = Reload(reread, self.take, timers, log.say)
-        buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
+        self.reloader = Reloader(read_start_up, self.apply_start_up, timers, log.say)
+        buffers, descriptors = (
+            BufferPool(BUFFER_BYTES, MAX_POOLED_BUFFERS),
+            Descriptors(self.descriptor_limit(start_up)),
+        )
         self.descriptors = descriptors
         self.owner = Owner(
-            told.agreed, told.seed, clock, timers, roster, turns.behind if turns else lambda: 0, log.say
+            start_up.agreed,
+            start_up.seed,
+            clock,
+            timers,
+            roster,
+            turns.behind if turns else lambda: 0,
+            log.say,
         )
         urgent: set[int] = set()
         if turns:
             turns.first, turns.urgent = descriptors.outgoing, urgent
-        door = AdmissionControl(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
-        self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
+        admission = AdmissionControl(
+            min(p.service_goal for p in start_up.agreed.profiles), Random(start_up.seed ^ ADMISSION_SEED_MASK)
+        )
+        self.pool = HostPool(
+            buffers, descriptors, timers, start_up.idle_timeout_s, start_up.connect_timeout_s
+        )
         self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.say)
-        following = DiscoverySchedule(told.agreed, self.owner.proxy.chance)
+        following = DiscoverySchedule(start_up.agreed, self.owner.proxy.chance)
         self.watch = Watch(
-            told.discovery, told.known.version, following, self.owner, buffers, descriptors, timers, log.say
+            start_up.discovery,
+            start_up.known_hosts.version,
+            following,
+            self.owner,
+            buffers,
+            descriptors,
+            timers,
+            log.say,
         )
         self.owner.begin_attempt = self.attempts.begin
         roster.left = self.pool.close_idle
@@ -79,84 +108,88 @@
             self.owner,
             clock,
             timers,
-            door,
-            told.profiles,
+            admission,
+            start_up.profiles,
             buffers,
             descriptors,
-            Room(told.bodies_most),
+            Room(start_up.max_body_bytes),
             log.say,
         )
-        self.figures = Figures(self.owner, self.clients, self.attempts, self.watch, timers, log.say)
+        self.metrics = MetricsLog(self.owner, self.clients, self.attempts, self.watch, timers, log.say)
         self.staff = Staff(self.owner, roster, self.clients, clock, log.say)
         self.callers = Callers(self.staff.carry_out, timers, buffers, urgent, log.say)
         self.console: Listener | None = None
         self.listener: Listener | None = None
-        self.together = None
-        if told.fleet is not None:  # loaded only here
-            from .together import Together
+        self.fleet_member = None
+        if start_up.fleet is not None:  # imported only here
+            from .together import FleetMember
 
-            self.together = self.staff.fleet = Together(
-                told.fleet,
-                told.name,
-                told.agreed,
-                told.fleet.bounds(told.profiles),
-                told.longest_patience,
-                told.seed,
+            self.fleet_member = self.staff.fleet = FleetMember(
+                start_up.fleet,
+                start_up.name,
+                start_up.agreed,
+                start_up.fleet.bounds(start_up.profiles),
+                start_up.max_hard_limit_s,
+                start_up.seed,
                 self.owner,
                 clock,
                 timers,
-                bool(told.folder),
+                bool(start_up.folder),
                 log.say,
             )
-        if told.folder:
-            names = [name for name, _ in sorted(told.profiles.items(), key=lambda each: each[1])]
+        if start_up.folder:
+            names = [name for name, _ in sorted(start_up.profiles.items(), key=lambda item: item[1])]
             self.handover = Handover(
-                ProcessRegistry(told.folder, told.name),
+                ProcessRegistry(start_up.folder, start_up.name),
                 self.owner,
                 self.clients,
                 self.watch,
                 timers,
                 clock,
                 names,
-                told.agreed.fall_time,
+                start_up.agreed.fall_time,
                 HandoverCallbacks(self.set_accepting, self.update_descriptor_limit),
                 log.say,
             )
             self.staff.keep = self.handover.save_orders
 
-    def sockets(self, told: StartUp) -> int:
-        """Descriptors for all but the staff, who have a few of their own; half while two processes live."""
+    def descriptor_limit(self, start_up: StartUp) -> int:
+        """Descriptors for all but operators, who have their own; half while another process is alive."""
         shared = self.handover is not None and self.handover.other_process
-        return (told.sockets // 2 if shared else told.sockets) - (PLACES + 1 if told.console else 0)
+        return (start_up.sockets // 2 if shared else start_up.sockets) - (
+            PLACES + 1 if start_up.console else 0
+        )
 
     def set_accepting(self, on: bool) -> None:
-        """Whether new connections are taken from the backlog that another process shares. Who takes none is
-        no member any more: its successor is, under the same name."""
-        if self.together is not None:
-            self.together.begin() if on else self.together.close()
+        """Whether to accept connections from the backlog shared with another process.
+
+        A process that accepts none leaves the fleet: its successor is the member, under the same name.
+        """
+        if self.fleet_member is not None:
+            self.fleet_member.begin() if on else self.fleet_member.close()
         if self.listener is not None:
             self.listener.resume() if on else self.listener.pause()
 
     def update_descriptor_limit(self) -> None:
-        self.descriptors.bound(self.sockets(self.told))
+        self.descriptors.bound(self.descriptor_limit(self.start_up))
 
     async def run(self) -> None:
-        """From start to SIGTERM, or SIGINT; a second one changes nothing."""
+        """Runs until SIGTERM or SIGINT; a second signal has no effect."""
         for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, self.ending.set)
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload.hangup)
+            asyncio.get_running_loop().add_signal_handler(number, self.stop_requested.set)
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reloader.on_hangup)
         listener = self.begin()
-        if self.early is not None and self.early.came:
-            self.reload.hangup()
+        if self.early_hangup is not None and self.early_hangup.received:
+            self.reloader.on_hangup()
         gc.collect()
-        gc.freeze()  # what is here stays; looking at it again stopped everything for 4 ms
-        await self.ending.wait()
+        gc.freeze()  # objects that stay; each full collection of them paused the process for 4 ms
+        await self.stop_requested.wait()
         await self.end(listener)
         self.ignore_signals()
 
     @staticmethod
     def ignore_signals() -> None:
-        """All is answered. The loop would leave each with its default action, which ends the process."""
+        """Ignores signals after shutdown; the loop would restore their default action and end the process."""
         handled = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
         signal.pthread_sigmask(signal.SIG_BLOCK, handled)
         for number in handled:
@@ -165,44 +198,44 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, handled)
 
     def begin(self) -> Listener:
-        """Ready only once the hosts are known to the decisions and the address is ours."""
-        known, learned = self.told.known, None
+        """Starts all parts; the proxy is ready once the policy has its hosts and the address is bound."""
+        known_hosts, policy_state = self.start_up.known_hosts, None
         if self.handover is not None:
-            known, learned = self.handover.load_state(known)
-            self.watch.version = known.version
-        self.owner.start(known)
+            known_hosts, policy_state = self.handover.load_state(known_hosts)
+            self.watch.version = known_hosts.version
+        self.owner.start(known_hosts)
         if self.handover is not None:
-            self.handover.restore_state(learned)
-        if self.told.console:
-            self.console = self.listen(self.told.console, self.callers.take)
+            self.handover.restore_state(policy_state)
+        if self.start_up.console:
+            self.console = self.open_listener(self.start_up.console, self.callers.take)
             self.callers.urgent.add(self.console.socket.fileno())
             self.console.open()
         inherited = None
-        if self.told.inherited:
+        if self.start_up.inherited:
             try:
-                inherited = open_inherited(self.told.inherited, self.told.listen)
-            except InheritedSocketError as fault:
-                raise BadStart(f"RELAY_FD: {fault}") from None
-        self.listener = listener = self.listen(self.told.listen, self.clients.take, inherited)
+                inherited = open_inherited(self.start_up.inherited, self.start_up.listen)
+            except InheritedSocketError as error:
+                raise StartUpError(f"RELAY_FD: {error}") from None
+        self.listener = listener = self.open_listener(self.start_up.listen, self.clients.take, inherited)
         listener.open()
-        # guards against a successor to whom news counts as told before it has asked
+        # Changes count as received by a successor before it has asked for them, so it asks at once.
         self.watch.begin(at_once=self.handover is not None and self.handover.other_process)
-        self.figures.begin()
-        if self.together is not None:
+        self.metrics.begin()
+        if self.fleet_member is not None:
             try:
-                self.together.begin()
-            except OSError as fault:
-                where = ":".join(map(str, self.told.fleet.listen))
-                raise BadStart(f"cannot talk on {where}: {fault.strerror}") from None
-        if self.told.agreed.list_on_request:
-            self.say_ready()
-        else:  # guards against hosts that left before this process began: their news counts already
-            self.watch.on_contact = self.say_ready
-            self.timers.set(SILENCE_TIMEOUT, self.say_ready)
+                self.fleet_member.begin()
+            except OSError as error:
+                where = ":".join(map(str, self.start_up.fleet.listen))
+                raise StartUpError(f"cannot talk on {where}: {error.strerror}") from None
+        if self.start_up.agreed.list_on_request:
+            self.announce_ready()
+        else:  # pushed changes are in effect already, also for hosts that left before this process started
+            self.watch.on_contact = self.announce_ready
+            self.timers.set(SILENCE_TIMEOUT, self.announce_ready)
         return listener
 
-    def say_ready(self) -> None:
-        if self.clients.ready or self.ending.is_set():
+    def announce_ready(self) -> None:
+        if self.clients.ready or self.stop_requested.is_set():
             return
         self.clients.ready = True
         if self.handover is not None:
@@ -214,27 +247,27 @@
             **({"console": list(self.console.address)} if self.console else {}),
         )
 
-    def listen(self, address: tuple[str, int], take, inherited=None) -> Listener:
+    def open_listener(self, address: tuple[str, int], take, inherited=None) -> Listener:
         try:
             return Listener(address, take, inherited, self.clients.sparingly)
-        except OSError as fault:
+        except OSError as error:
             where = ":".join(map(str, address))
-            raise BadStart(f"cannot listen on {where}: {fault.strerror}") from None
+            raise StartUpError(f"cannot listen on {where}: {error.strerror}") from None
 
-    def take(self, told: StartUp) -> None:
-        """A new start-up file, checked whole, is taken over in one step; also while this process ends."""
-        kept = {name: getattr(self.told, name) for name in AT_START_ONLY}
-        left = [name for name, value in kept.items() if getattr(told, name) != value]
-        self.told = told._replace(**kept)
-        self.log.name = told.name
-        self.descriptors.bound(self.sockets(self.told))
-        self.clients.room.most = told.bodies_most
-        self.pool.times(told.idle_seconds, told.connect_seconds)
-        self.watch.move(told.discovery)
-        self.log.say("file taken", discovery=list(told.discovery), needs_restart=left)
+    def apply_start_up(self, start_up: StartUp) -> None:
+        """Applies a new start-up file, already checked, in one step; also during shutdown."""
+        current = {name: getattr(self.start_up, name) for name in AT_START_ONLY}
+        changed = [name for name, value in current.items() if getattr(start_up, name) != value]
+        self.start_up = start_up._replace(**current)
+        self.log.name = start_up.name
+        self.descriptors.bound(self.descriptor_limit(self.start_up))
+        self.clients.room.most = start_up.max_body_bytes
+        self.pool.times(start_up.idle_timeout_s, start_up.connect_timeout_s)
+        self.watch.move(start_up.discovery)
+        self.log.say("file taken", discovery=list(start_up.discovery), needs_restart=changed)
 
     async def end(self, listener: Listener) -> None:
-        """Idle connections go at once, while whoever crosses that can come anew; then all is finished."""
+        """Shuts down: closes idle connections while clients can still reconnect, then finishes all work."""
         self.log.say(
             "ending",
             connections=len(self.clients.open),
@@ -243,38 +276,41 @@
         )
         self.clients.ready = False
         self.clients.last_answer = self.clock.now() + int(
-            (self.told.longest_patience + KILL_AFTER - ANSWERED_BEFORE) * TICKS
+            (self.start_up.max_hard_limit_s + SIGKILL_DELAY_S - ANSWER_MARGIN_S) * TICKS
         )
         if self.handover is not None:
             self.handover.end()
         if listener.inherited:
-            listener.close()  # who comes now is for the next process
-            await self.send_over()
+            listener.close()  # new connections go to the next process
+            await self.drain_clients()
         else:
             self.clients.close_idle()
-            await asyncio.sleep(ACCEPT_ON)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             listener.close()
-            await asyncio.sleep(READ_ON)
+            await asyncio.sleep(READ_PERIOD_S)
         self.clients.close_idle(states=(NEW, IDLE))
-        await self.clients.finish(self.told.longest_patience)
-        self.ended()
+        await self.clients.finish(self.start_up.max_hard_limit_s)
+        self.close()
+
+    async def drain_clients(self) -> None:
+        """Lets answers close their connections, so that clients reconnect to the next process.
 
-    async def send_over(self) -> None:
-        """Each answer closes its connection, and its client comes to the next process. Idle ones first have
-        that chance: guards against ends that cross a request just sent, as most are by who asks often."""
-        for _ in range(int((ACCEPT_ON + READ_ON) / READ_ON)):
+        Connections are closed only once idle for `MIN_IDLE_S`: a close could cross a request just sent, which
+        is likely for clients that send often.
+        """
+        for _ in range(int((ACCEPT_AFTER_SIGTERM_S + READ_PERIOD_S) / READ_PERIOD_S)):
             if not self.clients.open:
                 return
-            await asyncio.sleep(READ_ON)
-            self.clients.close_idle(rested=RESTED)
+            await asyncio.sleep(READ_PERIOD_S)
+            self.clients.close_idle(rested=MIN_IDLE_S)
 
-    def ended(self) -> None:
+    def close(self) -> None:
         self.log.say("ended", unanswered=sum(not order.closed for order in self.owner.orders.values()))
         if self.console is not None:
             self.console.close()
             self.callers.close()
-        if self.together is not None:
-            self.together.close()
+        if self.fleet_member is not None:
+            self.fleet_member.close()
         if self.handover is not None:
             self.handover.close()
         self.watch.end()
--- a/basalthook/program/staffline.py
+++ b/basalthook/program/staffline.py
@@ -1,4 +1,4 @@
-"""The staff's commands: each is one call to the second address of a running client proxy."""
+"""Commands for operators; each is one call to the second address of a running client proxy."""
 
 import http.client
 import sys
@@ -9,7 +9,7 @@
 from ..console import calls
 from ..protocol import catalogue
 
-CONSOLE = click.option(
+CONSOLE_OPTION = click.option(
     "--console",
     "address",
     envvar="RELAY_CONSOLE",
@@ -17,48 +17,50 @@
     metavar="HOST:PORT",
     help="The proxy's second address; by default what RELAY_CONSOLE names.",
 )
-SECONDS = click.option("--seconds", default=2.0, show_default=True, help="How long to wait for the answer.")
+SECONDS_OPTION = click.option(
+    "--seconds", default=2.0, show_default=True, help="How long to wait for the answer."
+)
 
 
-def ask(address: str, seconds: float, method: str, path: str) -> NoReturn:
-    """Say what was answered; exit code 0: yes, 1: no, or no answer."""
+def send_request(address: str, seconds: float, method: str, path: str) -> NoReturn:
+    """Prints the answer. Exit code 0: success; 1: refused or no answer."""
     try:
-        where, port = catalogue.address(address)
-        connection = http.client.HTTPConnection(where, port, timeout=seconds)
+        host_name, port = catalogue.address(address)
+        connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
         connection.request(method, path)
         answer = connection.getresponse()
         text = answer.read().decode().strip()
         connection.close()
-    except ValueError as fault:
-        raise click.UsageError(str(fault)) from None
-    except (OSError, http.client.HTTPException) as fault:
-        click.echo(f"basalthook: no answer from {address}: {fault}", err=True)
+    except ValueError as error:
+        raise click.UsageError(str(error)) from None
+    except (OSError, http.client.HTTPException) as error:
+        click.echo(f"basalthook: no answer from {address}: {error}", err=True)
         sys.exit(1)
     click.echo(text)
     sys.exit(0 if 200 <= answer.status < 300 else 1)
 
 
-def make(address: str, seconds: float, what: str, host: str = "") -> NoReturn:
-    ask(address, seconds, *calls.call(what, host))
+def send_command(address: str, seconds: float, action: str, host: str = "") -> NoReturn:
+    send_request(address, seconds, *calls.call(action, host))
 
 
-def command(name: str, what: str, help_: str) -> click.Command:
-    @click.command(name, help=help_)
-    @CONSOLE
-    @SECONDS
+def simple_command(name: str, action: str, help_text: str) -> click.Command:
+    @click.command(name, help=help_text)
+    @CONSOLE_OPTION
+    @SECONDS_OPTION
     def run(address: str, seconds: float) -> None:
-        make(address, seconds, what)
+        send_command(address, seconds, action)
 
     return run
 
 
-def host_command(name: str, what: str, help_: str) -> click.Command:
-    @click.command(name, help=help_)
+def host_command(name: str, action: str, help_text: str) -> click.Command:
+    @click.command(name, help=help_text)
     @click.argument("host")
-    @CONSOLE
-    @SECONDS
+    @CONSOLE_OPTION
+    @SECONDS_OPTION
     def run(host: str, address: str, seconds: float) -> None:
-        make(address, seconds, what, host)
+        send_command(address, seconds, action, host)
 
     return run
 
@@ -69,12 +71,12 @@
     commands=[
         host_command("disable", calls.DISABLE, "Take HOST (its id in the list) out, until it is put back."),
         host_command("enable", calls.ENABLE, "Put HOST back; it counts as restarted, and so as cold."),
-        command("list", calls.HOSTS, "Every host known, one JSON line each."),
+        simple_command("list", calls.HOSTS, "Every host known, one JSON line each."),
     ],
 )
 COMMANDS = (
     host,
-    command("drain", calls.DRAIN, "Send clients away: the process runs on."),
-    command("resume", calls.RESUME, "Back to work after a drain."),
-    command("ready", calls.READY, "Ask whether the process is ready to serve."),
+    simple_command("drain", calls.DRAIN, "Send clients away: the process runs on."),
+    simple_command("resume", calls.RESUME, "Back to work after a drain."),
+    simple_command("ready", calls.READY, "Ask whether the process is ready to serve."),
 )
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -1,4 +1,4 @@
-"""What this proxy is told at start: the start-up file, or else single variables, decoded once."""
+"""Start-up configuration: the start-up file, with environment variables for values it leaves out."""
 
 import os
 import re
@@ -13,106 +13,109 @@
 
 
 class StartUp(NamedTuple):
+    """The decoded configuration."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
     sockets: int
-    bodies_most: int  # bytes of requests' long bodies that are held at a time
+    max_body_bytes: int  # bytes of long request bodies held at a time
     agreed: i.Agreement
     profiles: dict[str, int]
-    connect_seconds: float
-    idle_seconds: float
-    longest_patience: float  # seconds: the longest hard limit of a profile
-    known: catalogue.Listing
-    console: tuple[str, int] | None = None  # the second address, for the staff
-    inherited: str | None = None  # the descriptor of the clients' listening socket, if one is told
-    folder: str | None = None  # where processes of this name meet; only with one of these two
-    fleet: object = None  # config.fleet.Told, where this process talks with others
+    connect_timeout_s: float
+    idle_timeout_s: float
+    max_hard_limit_s: float  # the longest hard limit of all profiles
+    known_hosts: catalogue.Listing
+    console: tuple[str, int] | None = None  # the second address, for operators
+    inherited: str | None = None  # descriptor number of the clients' listening socket
+    folder: str | None = None  # shared by processes of this name; only with one of these two
+    fleet: object = None  # the decoded fleet file, if there is one
 
 
-MEMORY, OWN, BODIES = 64, 28, 0.7  # MB, if none are told; of the program itself; part of the rest for bodies
+# Memory if none is configured, memory of the program itself, share of the rest for bodies of requests.
+DEFAULT_MEMORY_MB, PROGRAM_MEMORY_MB, BODY_MEMORY_SHARE = 64, 28, 0.7
 
 
-NAME = re.compile(r"[!-~]{1,64}")  # of a member: others read it in datagrams
+MEMBER_NAME = re.compile(r"[!-~]{1,64}")  # printable ASCII, as other members read it in datagrams
 
 
-class BadStart(Exception):
-    """Says in one line what is wrong."""
+class StartUpError(Exception):
+    """The program can't start; the message is one line with the reason."""
 
 
 def read(path: str, environ=os.environ, fleet: str | None = None) -> StartUp:
-    """`fleet`: path of the fleet file, if one is named."""
+    """Reads and decodes the start-up file. `fleet`: path of the fleet file, if there is one."""
     return decode(load(path), environ, path, read_fleet(fleet) if fleet else None)
 
 
 def read_fleet(path: str):
-    try:  # loaded only here: a plain `serve` does without
+    try:  # imported only here: `serve` without a fleet file does not need it
         from ..config import fleet
-    except ModuleNotFoundError as fault:
-        raise BadStart(
-            f"a fleet file needs {fault.name}: install the extra [fleet] (requirements-fleet.txt)"
+    except ModuleNotFoundError as error:
+        raise StartUpError(
+            f"a fleet file needs {error.name}: install the extra [fleet] (requirements-fleet.txt)"
         ) from None
     try:
         return fleet.read(path)
-    except fleet.BadFleet as fault:
-        raise BadStart(str(fault)) from None
+    except fleet.BadFleet as error:
+        raise StartUpError(str(error)) from None
 
 
 def load(path: str):
     try:
         with open(path, "rb") as file:
             return orjson.loads(file.read())
-    except OSError as fault:
-        raise BadStart(f"cannot read {path}: {fault.strerror}") from None
-    except orjson.JSONDecodeError as fault:
-        raise BadStart(f"{path} is no JSON: {fault}") from None
+    except OSError as error:
+        raise StartUpError(f"cannot read {path}: {error.strerror}") from None
+    except orjson.JSONDecodeError as error:
+        raise StartUpError(f"{path} is no JSON: {error}") from None
 
 
-def decode(told, environ, path: str = "start-up file", fleet=None) -> StartUp:
+def decode(document, environ, path: str = "start-up file", fleet=None) -> StartUp:
     try:
-        return _decode(told, environ, fleet)
-    except KeyError as fault:
-        raise BadStart(f"{path}: {fault.args[0]!r} is missing or not known") from None
-    except (ValueError, TypeError, AttributeError) as fault:
-        raise BadStart(f"{path}: {fault}") from None
+        return _decode(document, environ, fleet)
+    except KeyError as error:
+        raise StartUpError(f"{path}: {error.args[0]!r} is missing or unknown") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise StartUpError(f"{path}: {error}") from None
 
 
-def _decode(told: dict, environ, fleet) -> StartUp:
-    setup, allowed = told["settings"], told["settings"]["allowed"]
-    agreed = terms.agreement(setup)
+def _decode(document: dict, environ, fleet) -> StartUp:
+    settings, allowed = document["settings"], document["settings"]["allowed"]
+    agreed = terms.agreement(settings)
     if fleet is not None and not agreed.peers:
         raise ValueError(
             "settings.allowed.peers: this deployment allows no messages among proxies, "
             "and a fleet file is named"
         )
-    agreed = agreed._replace(peers=False)  # news of the simulator's kind are not carried here
-    name = str(told.get("name") or environ.get("RELAY_NAME") or "proxy")
-    if fleet is not None and not fleet.name and not NAME.fullmatch(name):
-        raise ValueError(f"name: {name!r} is no name of a member; the fleet file may give another")
+    agreed = agreed._replace(peers=False)  # only the simulator carries the messages that this setting allows
+    name = str(document.get("name") or environ.get("RELAY_NAME") or "proxy")
+    if fleet is not None and not fleet.name and not MEMBER_NAME.fullmatch(name):
+        raise ValueError(f"name: {name!r} is no valid member name; the fleet file may set another")
     if fleet is not None:
-        fleet.bounds(terms.profiles(setup))  # a limit of a profile that there is none of
-    listed = told.get("known") or {"version": 0, "full": True, "servers": []}
-    known = catalogue.listing(listed)
-    if known is None:
+        fleet.bounds(terms.profiles(settings))  # raises if a limit names an unknown profile
+    listing = document.get("known") or {"version": 0, "full": True, "servers": []}
+    known_hosts = catalogue.listing(listing)
+    if known_hosts is None:
         raise ValueError("'known' is no list of hosts")
-    ours = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    memory = int(told.get("limits", {}).get("memory_mb") or MEMORY)
-    seed = told.get("seed", 0)
-    console = told.get("console") or environ.get("RELAY_CONSOLE")
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    memory = int(document.get("limits", {}).get("memory_mb") or DEFAULT_MEMORY_MB)
+    seed = document.get("seed", 0)
+    console = document.get("console") or environ.get("RELAY_CONSOLE")
     return StartUp(
         name=name,
-        listen=catalogue.address(told.get("listen") or environ["RELAY_LISTEN"], least=0),  # 0: any port
-        discovery=catalogue.address(told.get("discovery") or environ["RELAY_DISCOVERY"]),
+        listen=catalogue.address(document.get("listen") or environ["RELAY_LISTEN"], least=0),  # 0: any port
+        discovery=catalogue.address(document.get("discovery") or environ["RELAY_DISCOVERY"]),
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
-        sockets=min(ours, int(told.get("limits", {}).get("sockets") or ours)),
-        bodies_most=int(max(4, memory - OWN) * 2**20 * BODIES),
+        sockets=min(descriptor_limit, int(document.get("limits", {}).get("sockets") or descriptor_limit)),
+        max_body_bytes=int(max(4, memory - PROGRAM_MEMORY_MB) * 2**20 * BODY_MEMORY_SHARE),
         agreed=agreed,
-        profiles=terms.profiles(setup),
-        connect_seconds=allowed["connect_timeout_ns"] / 1e9,
-        idle_seconds=allowed.get("keepalive_ns", 0) / 1e9,
-        longest_patience=max(p["hard_limit_ns"] for p in setup["profiles"]) / 1e9,
-        known=known,
+        profiles=terms.profiles(settings),
+        connect_timeout_s=allowed["connect_timeout_ns"] / 1e9,
+        idle_timeout_s=allowed.get("keepalive_ns", 0) / 1e9,
+        max_hard_limit_s=max(p["hard_limit_ns"] for p in settings["profiles"]) / 1e9,
+        known_hosts=known_hosts,
         console=catalogue.address(console, least=0) if console else None,
         inherited=environ.get("RELAY_FD"),
         folder=environ.get("TMPDIR") if console or environ.get("RELAY_FD") else None,
--- a/basalthook/program/together.py
+++ b/basalthook/program/together.py
@@ -1,6 +1,6 @@
-"""This process among its fellows: the members' socket, what they hold together, and the decisions beside it.
+"""This process as a member of the fleet: its socket, and verdicts and limits shared with the other members.
 
-Built only where a fleet file is named; nothing of it is imported otherwise.
+Imported only if there is a fleet file.
 """
 
 from random import Random
@@ -16,70 +16,78 @@
 from ..routing.owner import Owner
 from ..transport.timers import Timers
 
-TICK = 0.05  # seconds between two looks
-AGAIN = 0.5  # seconds until an address that the process before this one still holds is tried again
-TALK, LIMITS = 0x7A1C, 0x11317  # set their chance apart from the decisions', which must not follow it
+TICK_S = 0.05
+RETRY_DELAY_S = 0.5  # while the previous process still holds the address
+# Seed random generators of their own: drawing from the policy's generator would change its decisions.
+TALK_SEED_MASK, LIMITS_SEED_MASK = 0x7A1C, 0x11317
 
 
-class Together:
-    """`begin` once the owner has started; OSError where the address can't be had, unless `wait` is told."""
+class FleetMember:
+    """Call `begin` once the owner has started.
+
+    `begin` raises OSError if the address can't be bound, unless `wait_for_address` is set.
+    """
 
     def __init__(
         self,
-        told,
+        config,
         name: str,
         agreed,
         limits: list,
-        longest: float,
+        max_hard_limit_s: float,
         seed: int,
         owner: Owner,
         clock: Clock,
         timers: Timers,
-        wait: bool,
+        wait_for_address: bool,
         say,
     ) -> None:
-        """`told`: config.fleet.Told; `limits`: fleet.bounds.Limit each, `longest`: hard limit in seconds;
-        `wait`: a process before this one may hold the address for a moment."""
-        self.told, self.owner, self.clock, self.timers, self.wait, self.log = (
-            told,
+        """`config`: the decoded fleet file; `limits`: its limits; `max_hard_limit_s`: of all profiles.
+
+        `wait_for_address`: retry while the previous process still holds the address.
+        """
+        self.config, self.owner, self.clock, self.timers, self.wait_for_address, self.log = (
+            config,
             owner,
             clock,
             timers,
-            wait,
+            wait_for_address,
             say,
         )
-        lives = {kind: int(seconds * TICKS) for kind, seconds in told.lives.items()}
+        lives = {kind: int(seconds * TICKS) for kind, seconds in config.lives.items()}
         life = clocks.wall_ns() // 1_000_000
         self.driver: Driver | None = None
         self.talk = Talk(
-            told.name or name,
-            told.address,
+            config.name or name,
+            config.address,
             life,
-            list(told.seeds),
-            told.key,
+            list(config.seeds),
+            config.key,
             lives,
-            Random(seed ^ TALK),
+            Random(seed ^ TALK_SEED_MASK),
             self.send,
             say,
         )
-        self.mind = self.limits = None
-        if told.verdicts:
-            self.mind = Verdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.say)
-            self.mind.hurry = self.talk.rumours
-        owner.mind = self.mind or Counting(owner.proxy)
+        self.verdict_engine = self.limits = None
+        if config.verdicts:
+            self.verdict_engine = Verdicts(
+                owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.say
+            )
+            self.verdict_engine.hurry = self.talk.rumours
+        owner.mind = self.verdict_engine or Counting(owner.proxy)
         if limits:
-            hard_limit = int(longest * TICKS)
+            hard_limit = int(max_hard_limit_s * TICKS)
             self.limits = Limits(
                 owner.mind,
                 owner.proxy,
                 limits,
                 self.talk.name,
                 life,
-                told.keepers,
+                config.keepers,
                 agreed.position,
                 agreed.proxies,
                 hard_limit,
-                Random(seed ^ LIMITS),
+                Random(seed ^ LIMITS_SEED_MASK),
                 self.talk.post,
                 self.talk.live,
                 clock.now(),
@@ -91,19 +99,19 @@
         self.timer = None
 
     def say(self, event: str, **fields) -> None:
-        """With the host's id, where it is about one."""
-        numbers = self.mind.numbers if self.mind is not None else {}
+        """Logs an event; one that names a host also gets the host's id."""
+        numbers = self.verdict_engine.numbers if self.verdict_engine is not None else {}
         place = self.owner.roster.places.get(numbers.get(fields.get("host", ""), -1))
         self.log(event, **fields, **({"id": place.id} if place else {}))
 
     def begin(self) -> None:
         try:
-            self.driver = Driver(self.told.listen, self.took)
-        except OSError as fault:
-            if not self.wait:
+            self.driver = Driver(self.config.listen, self.on_datagram)
+        except OSError as error:
+            if not self.wait_for_address:
                 raise
-            self.log("members wait", reason=fault.strerror)
-            self.timer = self.timers.set(int(AGAIN * TICKS), self.begin)
+            self.log("members wait", reason=error.strerror)
+            self.timer = self.timers.set(int(RETRY_DELAY_S * TICKS), self.begin)
             return
         if self.limits is not None:
             self.limits.come(self.clock.now())
@@ -112,27 +120,29 @@
         self.tick()
 
     def tick(self) -> None:
-        self.timer = self.timers.set(int(TICK * TICKS), self.tick)
+        self.timer = self.timers.set(int(TICK_S * TICKS), self.tick)
         now = self.clock.now()
         self.talk.tick(now)
         if self.limits is not None:
             self.limits.tick(now)
-        judged = self.mind.look(now, self.owner.seen(now)) if self.mind is not None else None
-        if judged is not None:
-            self.owner.post(judged)
+        judgement = (
+            self.verdict_engine.look(now, self.owner.seen(now)) if self.verdict_engine is not None else None
+        )
+        if judgement is not None:
+            self.owner.post(judgement)
 
-    def took(self, data: bytes, source: tuple[str, int]) -> None:
+    def on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         try:
             self.talk.received(self.clock.now(), data, source)
-        except Exception as fault:  # exceptions stop at the datagram
-            self.log("fault", where="members", error=repr(fault))
+        except Exception as error:  # a bad datagram must not stop the service
+            self.log("fault", where="members", error=repr(error))
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
         if self.driver is not None:
             self.driver.send(address, data)
 
     def close(self) -> None:
-        """Gone in order; a second call does nothing."""
+        """Leaves the fleet in order; a second call does nothing."""
         self.timers.cancel(self.timer)
         if self.driver is not None:
             if self.limits is not None:
@@ -141,33 +151,33 @@
             self.driver.close()
             self.driver = None
 
-    # ---- for the staff
+    # ---- for operators
 
     def members(self) -> list[dict]:
         member = self.talk.member
         rows = [
             {
-                "name": u.name,
-                "address": f"{u.host}:{u.port}",
-                "state": STATES[u.state],
-                "life": u.life,
-                "incarnation": u.incarnation,
-                "this": u.name == member.name,
-                "suspected_by": sorted(member.suspicions[u.name].witnesses)
-                if u.name in member.suspicions
+                "name": peer.name,
+                "address": f"{peer.host}:{peer.port}",
+                "state": STATES[peer.state],
+                "life": peer.life,
+                "incarnation": peer.incarnation,
+                "this": peer.name == member.name,
+                "suspected_by": sorted(member.suspicions[peer.name].witnesses)
+                if peer.name in member.suspicions
                 else [],
             }
-            for u in (member.me, *member.known.values())
+            for peer in (member.me, *member.known.values())
         ]
         return sorted(rows, key=lambda row: row["name"])
 
     def verdicts(self) -> list[dict]:
         places = self.owner.roster.places
-        if self.mind is None:
+        if self.verdict_engine is None:
             return []
         return [
             {**row, "host": places[row["host"]].id if row["host"] in places else str(row["host"])}
-            for row in self.mind.view(self.clock.now())
+            for row in self.verdict_engine.view(self.clock.now())
         ]
 
     def shares(self) -> list[dict]:
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -114,7 +114,7 @@
 
 
 async def main(layer: str, told: startup.StartUp, turns: Turns) -> None:
-    addresses = [line.address for line in told.known.lines]
+    addresses = [line.address for line in told.known_hosts.lines]
     if layer == "streams":
         server = Streams(addresses)
         listening = bind_sockets(0, "127.0.0.1")
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -13,7 +13,8 @@
     def test_the_start_up_file_is_one_that_serve_takes(self):
         told = decode(path.start_up(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {})
         self.assertEqual(
-            (len(told.known.lines), told.profiles, told.agreed.warm_keys), (2, {"read": 0, "write": 1}, True)
+            (len(told.known_hosts.lines), told.profiles, told.agreed.warm_keys),
+            (2, {"read": 0, "write": 1}, True),
         )
 
     def test_every_kind_of_event_is_timed(self):
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -52,7 +52,7 @@
         }.items():
             for wrong in wrongs:
                 path = "settings[.]" + name + ("[.]peers" if name == "allowed" else "")
-                with self.assertRaisesRegex(startup.BadStart, f"^here: {path}: "):
+                with self.assertRaisesRegex(startup.StartUpError, f"^here: {path}: "):
                     startup.decode(self.change(**{name: wrong}), {}, "here")
 
     def test_placement_and_what_binds_come_from_the_file_and_a_wrong_place_is_named(self):
@@ -67,7 +67,7 @@
         found = agreed(stays_in=["b"], host_types_open=["m"])
         self.assertEqual((*found.profiles[0][-2:], found.only_draining_binds), ({"b"}, {"m"}, True))
         for name, wrong in (("stays_in", "b"), ("stays_in", []), ("stays_in", ["c"]), ("host_types_open", 1)):
-            with self.assertRaisesRegex(startup.BadStart, f"^here: settings[.]profiles.+[.]{name}: "):
+            with self.assertRaisesRegex(startup.StartUpError, f"^here: settings[.]profiles.+[.]{name}: "):
                 agreed(**{name: wrong})
 
     def test_what_is_left_to_decide_is_named_and_a_dry_run_says_the_same_and_changes_nothing(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -436,7 +436,7 @@
 
     async def test_hosts_that_are_gone_are_forgotten_once_no_hop_is_out(self):
         roster, host = Roster(), await self.started(SocketHost())
-        first = decode(start_up([host], host), {}).known
+        first = decode(start_up([host], host), {}).known_hosts
         number = roster.told(first, False).hosts[0].host
         roster.attempt_begun(number)
         roster.told(first._replace(lines=()), True)
@@ -447,7 +447,7 @@
 
     async def test_where_only_draining_binds_a_host_left_out_stays_until_let_go_and_a_drained_one_goes(self):
         roster, host = Roster(only_draining_binds=True), await self.started(SocketHost())
-        first = decode(start_up([host], host), {}).known
+        first = decode(start_up([host], host), {}).known_hosts
         number = roster.told(first, False).hosts[0].host
         gone = first.lines[0]._replace(ready=False)
         for lines, stays in (
