--- a/basalthook/handover/record.py
+++ b/basalthook/handover/record.py
@@ -25,13 +25,13 @@
     reason: str
 
 
-def compute_checksum(text: bytes) -> bytes:
-    return blake2b(text, digest_size=16).digest()
+def compute_checksum(payload: bytes) -> bytes:
+    return blake2b(payload, digest_size=16).digest()
 
 
 def encode(value) -> bytes:
-    text = orjson.dumps(value)
-    return MAGIC + HEADER.pack(len(text), compute_checksum(text)) + text
+    payload = orjson.dumps(value)
+    return MAGIC + HEADER.pack(len(payload), compute_checksum(payload)) + payload
 
 
 def decode(data: bytes):
@@ -41,34 +41,36 @@
     if len(data) < len(MAGIC) + HEADER.size:
         return BadRecord("cut short")
     length, checksum = HEADER.unpack_from(data, len(MAGIC))
-    text = data[len(MAGIC) + HEADER.size :]
-    if len(text) != length:
-        return BadRecord("cut short" if len(text) < length else "longer than its length field")
-    if compute_checksum(text) != checksum:
+    payload = data[len(MAGIC) + HEADER.size :]
+    if len(payload) != length:
+        return BadRecord("cut short" if len(payload) < length else "longer than its length field")
+    if compute_checksum(payload) != checksum:
         return BadRecord("checksum mismatch")
     try:
-        return orjson.loads(text)
+        return orjson.loads(payload)
     except orjson.JSONDecodeError as error:
         return BadRecord(str(error))
 
 
 def write(path: str, value) -> str:
     """Writes the record atomically. Returns an error, or "" on success."""
-    part = f"{path}.{os.getpid()}.part"
+    temporary_path = f"{path}.{os.getpid()}.part"
     try:
         with suppress(FileNotFoundError):
-            os.unlink(part)  # left by a killed process with the same process id
-        file = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+            os.unlink(temporary_path)  # left by a killed process with the same process id
+        file = os.open(
+            temporary_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
+        )
         try:
             data = memoryview(encode(value))
             while data:
                 data = data[os.write(file, data) :]
         finally:
             os.close(file)
-        os.rename(part, path)
+        os.rename(temporary_path, path)
     except OSError as error:
         with suppress(OSError):
-            os.unlink(part)
+            os.unlink(temporary_path)
         return f"cannot write {path}: {error.strerror}"
     return ""
 
@@ -82,14 +84,14 @@
     except OSError as error:
         return BadRecord(f"cannot read {path}: {error.strerror}")
     try:
-        found = os.fstat(file)
-        if not stat.S_ISREG(found.st_mode) or found.st_uid != os.geteuid() or found.st_mode & 0o022:
+        status = os.fstat(file)
+        if not stat.S_ISREG(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o022:
             return BadRecord(f"{path} is not owned and writable by this user alone")
-        if found.st_size > MAX_RECORD_BYTES:
+        if status.st_size > MAX_RECORD_BYTES:
             return BadRecord(f"{path} is too long")
         data = b""
-        while part := os.read(file, MAX_RECORD_BYTES + 1 - len(data)):
-            data += part
+        while chunk := os.read(file, MAX_RECORD_BYTES + 1 - len(data)):
+            data += chunk
     except OSError as error:
         return BadRecord(f"cannot read {path}: {error.strerror}")
     finally:
@@ -101,10 +103,10 @@
 def file_signature(path: str) -> tuple | None:
     """Changes whenever another record is written there; None if there is none."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return found.st_ino, found.st_mtime_ns, found.st_size
+    return status.st_ino, status.st_mtime_ns, status.st_size
 
 
 class RecordWriter:
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -42,7 +42,7 @@
 @FLEET_OPTION
 def serve(path: str, fleet: str | None) -> None:
     """Run one client proxy in the foreground until SIGTERM; SIGHUP reloads the start-up file."""
-    early_hangup = EarlyHangup()  # before the file is read
+    early_hangup = EarlyHangup()  # before the file is read, so that no SIGHUP is missed
     start_up = read_start_up(path, fleet)
     log = Log(start_up.name)
     try:
@@ -200,8 +200,8 @@
     run_in_lab(lambda command: command.soaked(first, count, minutes, out))
 
 
-def run_in_lab(play) -> NoReturn:
-    """Imports the lab, which nothing else in the program does, and runs `play`; exit code 3: a rule broke."""
+def run_in_lab(start) -> NoReturn:
+    """Imports the lab, as nothing else in the program does, and calls `start`; exit code 3: a rule broke."""
     try:
         from ..lab import command
     except ModuleNotFoundError as error:
@@ -211,7 +211,7 @@
             )
         )
     try:
-        passed = play(command)
+        passed = start(command)
     except command.Failed as error:
         exit_with_error(startup.StartUpError(str(error)))
     sys.exit(0 if passed else 3)
--- a/basalthook/program/fleetline.py
+++ b/basalthook/program/fleetline.py
@@ -15,7 +15,7 @@
     "--seconds", default=2.0, show_default=True, help="How long to wait for the answer."
 )
 JSON_OPTION = click.option(
-    "--json", "plain", is_flag=True, help="A JSON line for each, as the process tells it."
+    "--json", "plain", is_flag=True, help="Print each row as a line of JSON, as the process returns it."
 )
 
 
@@ -48,7 +48,7 @@
         for row in rows:
             click.echo(json.dumps(row))
         return
-    from rich.console import Console  # loaded only here
+    from rich.console import Console  # imported only here
     from rich.table import Table
 
     table = Table(*columns, title=title)
@@ -62,13 +62,13 @@
 @SECONDS_OPTION
 @JSON_OPTION
 def members(address: str, seconds: float, plain: bool) -> None:
-    """Who the process with its second address at HOST:PORT holds for alive, suspect or dead."""
-    found = fetch_rows(address, seconds, calls.MEMBERS)
-    living = sum(row["state"] != "dead" for row in found)
+    """List the members that the process with its second address at HOST:PORT sees, with their states."""
+    rows = fetch_rows(address, seconds, calls.MEMBERS)
+    alive = sum(row["state"] != "dead" for row in rows)
     print_rows(
-        found,
+        rows,
         plain,
-        f"{living} live of {len(found)}",
+        f"{alive} live of {len(rows)}",
         ("name", "address", "state", "suspected by", "life"),
         lambda row: (
             row["name"] + (" (this)" if row["this"] else ""),
@@ -83,13 +83,15 @@
 def format_evidence(row: dict) -> str:
     """The evidence of each member on a host, with its age and how long it is valid; a line each."""
     evidence = [
-        f"{w['by']}: {w['late']} late, {w['lost']} lost, {w['errors']} errors, {w['answers']} answers; "
-        f"{w['age_ms'] / 1000:.1f} of {w['life_ms'] / 1000:.0f} s"
-        for w in row["words"]
+        f"{report['by']}: {report['late']} late, {report['lost']} lost, {report['errors']} errors, "
+        f"{report['answers']} answers; "
+        f"{report['age_ms'] / 1000:.1f} of {report['life_ms'] / 1000:.0f} s"
+        for report in row["words"]
     ]
     trials = [
-        f"{t['by']}: trial {t['round']} {t['phase']}; {t['age_ms'] / 1000:.1f} of {t['life_ms'] / 1000:.0f} s"
-        for t in row["trials"]
+        f"{trial['by']}: trial {trial['round']} {trial['phase']}; "
+        f"{trial['age_ms'] / 1000:.1f} of {trial['life_ms'] / 1000:.0f} s"
+        for trial in row["trials"]
     ]
     return "\n".join(evidence + trials)
 
@@ -99,13 +101,13 @@
 @SECONDS_OPTION
 @JSON_OPTION
 def verdicts(address: str, seconds: float, plain: bool) -> None:
-    """Which hosts are out or on their way back, why, who says so, and how old that is against its life."""
-    found = fetch_rows(address, seconds, calls.VERDICTS)
+    """List the hosts that are out or returning: the reason, and the evidence of each member with its age."""
+    rows = fetch_rows(address, seconds, calls.VERDICTS)
     print_rows(
-        found,
+        rows,
         plain,
-        f"{len(found)} hosts",
-        ("host", "state", "since", "why", "by", "what is told"),
+        f"{len(rows)} hosts",
+        ("host", "state", "since", "why", "by", "evidence"),
         lambda row: (
             row["host"],
             row["state"],
@@ -120,21 +122,28 @@
 @click.command()
 @click.argument("what", metavar="HOST:PORT | explain")
 @click.argument("path", metavar="[FILE]", required=False, type=click.Path(dir_okay=False))
-@click.option("--proxies", default=2, show_default=True, help="With explain: how many proxies there are.")
-@click.option("--hard-limit", default=2.0, show_default=True, help="With explain: the longest, in seconds.")
+@click.option("--proxies", default=2, show_default=True, help="With explain: number of proxies.")
+@click.option(
+    "--hard-limit",
+    default=2.0,
+    show_default=True,
+    help="With explain: the longest hard limit of a profile, in seconds.",
+)
 @SECONDS_OPTION
 @JSON_OPTION
 def limits(what: str, path: str | None, proxies: int, hard_limit: float, seconds: float, plain: bool) -> None:
-    """This proxy's part of each limit, its age, and what it refused; or, with `explain FILE`, what is
-    promised of the limits of a fleet file."""
+    """Show this proxy's share of each limit, its age, and how much it refused.
+
+    With `explain FILE`: the guarantees of the limits in a fleet file.
+    """
     if what == "explain":
         explain(path, proxies, hard_limit, plain)
         return
-    found = fetch_rows(what, seconds, calls.LIMITS)
+    rows = fetch_rows(what, seconds, calls.LIMITS)
     print_rows(
-        found,
+        rows,
         plain,
-        f"{len(found)} limits",
+        f"{len(rows)} limits",
         ("limit", "amount", "own", "lent", "age", "keeper", "refused"),
         lambda row: (
             row["limit"],
@@ -149,7 +158,7 @@
 
 
 def explain(path: str | None, proxies: int, hard_limit: float, plain: bool) -> None:
-    from ..config import fleet  # loaded only here
+    from ..config import fleet  # imported only here
     from ..fleet import bounds
 
     if path is None:
@@ -158,15 +167,15 @@
         config = fleet.read(path)
     except fleet.BadFleet as error:
         fail(str(error))
-    hard_limit_ticks, found = int(hard_limit * bounds.TICKS), []
-    for row in config.limits:
-        limit = bounds.Limit(row.name, row.kind, row.amount, row.burst, (), row.over, row.floor)
+    hard_limit_ticks, rows = int(hard_limit * bounds.TICKS), []
+    for entry in config.limits:
+        limit = bounds.Limit(entry.name, entry.kind, entry.amount, entry.burst, (), entry.over, entry.floor)
         own = (
             f"{int(limit.floor * limit.amount)} places a host over all proxies"
             if limit.places
             else f"{limit.own_rate(proxies)[0] * bounds.TICKS:g} a second each"
         )
-        found.append(
+        rows.append(
             {
                 "limit": limit.name,
                 "kind": limit.kind,
@@ -180,9 +189,9 @@
             }
         )
     print_rows(
-        found,
+        rows,
         plain,
-        f"{len(found)} limits before {proxies} proxies",
+        f"{len(rows)} limits for {proxies} proxies",
         (
             "limit",
             "amount",
--- a/basalthook/program/migrate.py
+++ b/basalthook/program/migrate.py
@@ -72,9 +72,9 @@
 NEW_VALUES = {"discovery": "pushed", "weights": "live"}
 # Fields whose new value only the operator knows; copied unchanged unless a value is given.
 MANUAL_FIELDS = {
-    "listen": "clients come from other machines now: the address they, or the front before them, reach",
-    "settings.balancers": "how many proxies the pool has, no longer how many client processes",
-    "settings.position": "this proxy's place in the pool, from 0",
+    "listen": "clients now connect from other machines: the address that they or their front end use",
+    "settings.balancers": "number of proxies in the pool, no longer the number of client processes",
+    "settings.position": "position of this proxy in the pool, from 0",
 }
 
 
@@ -84,7 +84,7 @@
     new: dict
     changes: list[str]
     unknown: list[str]  # paths of fields that this program does not read
-    manual_steps: dict[str, str]  # path -> what the operator has to decide
+    manual_steps: dict[str, str]  # by path: what the operator has to decide
     already_migrated: bool
 
 
@@ -94,7 +94,7 @@
     Raises ValueError if `old` is no start-up file.
     """
     if not isinstance(old, dict) or not isinstance(old.get("settings"), dict):
-        raise ValueError("no start-up file: 'settings' is missing or no object")
+        raise ValueError("no start-up file: 'settings' is missing or not an object")
     settings, overrides = old["settings"], overrides or {}
     already_migrated = all(settings.get(name) == value for name, value in NEW_VALUES.items())
     unknown: list[str] = []
@@ -106,10 +106,10 @@
     ]
     new["settings"].update(NEW_VALUES)
     for path, value in overrides.items():
-        place, name = (new["settings"], path.split(".")[1]) if "." in path else (new, path)
-        if place.get(name) != value:
-            changes.append(f"{path}: {place.get(name)!r} becomes {value!r}, as told")
-        place[name] = value
+        target, name = (new["settings"], path.split(".")[1]) if "." in path else (new, path)
+        if target.get(name) != value:
+            changes.append(f"{path}: {target.get(name)!r} becomes {value!r}, as given")
+        target[name] = value
     manual_steps = (
         {}
         if already_migrated
@@ -132,16 +132,16 @@
     }
 
 
-def to_json(new: dict) -> bytes:
-    return orjson.dumps(new, option=orjson.OPT_INDENT_2) + b"\n"
+def to_json(document: dict) -> bytes:
+    return orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n"
 
 
-def write(path: str, new: dict) -> None:
+def write(path: str, document: dict) -> None:
     """Writes atomically: to a temporary file in the same folder, which is then renamed."""
     handle, temporary = tempfile.mkstemp(dir=os.path.dirname(os.path.abspath(path)), prefix=".migrate-")
     try:
         with os.fdopen(handle, "wb") as file:
-            file.write(to_json(new))
+            file.write(to_json(document))
             file.flush()
             os.fsync(file.fileno())
         os.replace(temporary, path)
--- a/basalthook/program/reload.py
+++ b/basalthook/program/reload.py
@@ -10,7 +10,10 @@
 
 
 class EarlyHangup:
-    """Records a SIGHUP that comes before the event loop handles it: the file may have changed since."""
+    """Records a SIGHUP that arrives before the event loop handles it.
+
+    The start-up file may have changed after it was read, so it has to be read again.
+    """
 
     def __init__(self) -> None:
         self.received = False
@@ -43,7 +46,7 @@
         self.apply(start_up)
 
     def refuse(self, reason: str) -> None:
-        retry = self.reads < MAX_READS  # it may still be being written
+        retry = self.reads < MAX_READS  # the writer may not have finished
         if self.reads == 1 or not retry:
             self.log("file refused", reason=reason, looks=self.reads, looks_again=retry)
         if retry:
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -226,7 +226,9 @@
                 self.fleet_member.begin()
             except OSError as error:
                 where = ":".join(map(str, self.start_up.fleet.listen))
-                raise StartUpError(f"cannot talk on {where}: {error.strerror}") from None
+                raise StartUpError(
+                    f"cannot exchange messages with the fleet on {where}: {error.strerror}"
+                ) from None
         if self.start_up.agreed.list_on_request:
             self.announce_ready()
         else:  # pushed changes are in effect already, also for hosts that left before this process started
--- a/basalthook/program/staffline.py
+++ b/basalthook/program/staffline.py
@@ -67,16 +67,20 @@
 
 host = click.Group(
     "host",
-    help="Take hosts out for maintenance, and put them back.",
+    help="Take hosts out of service for maintenance, and return them.",
     commands=[
-        host_command("disable", calls.DISABLE, "Take HOST (its id in the list) out, until it is put back."),
-        host_command("enable", calls.ENABLE, "Put HOST back; it counts as restarted, and so as cold."),
-        simple_command("list", calls.HOSTS, "Every host known, one JSON line each."),
+        host_command(
+            "disable", calls.DISABLE, "Take HOST (its id in the list) out of service until it is enabled."
+        ),
+        host_command(
+            "enable", calls.ENABLE, "Return HOST to service; it counts as restarted, and so as cold."
+        ),
+        simple_command("list", calls.HOSTS, "List all known hosts, one JSON line each."),
     ],
 )
 COMMANDS = (
     host,
-    simple_command("drain", calls.DRAIN, "Send clients away: the process runs on."),
-    simple_command("resume", calls.RESUME, "Back to work after a drain."),
+    simple_command("drain", calls.DRAIN, "Send clients away; the process keeps running."),
+    simple_command("resume", calls.RESUME, "Accept clients again after a drain."),
     simple_command("ready", calls.READY, "Ask whether the process is ready to serve."),
 )
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -19,8 +19,8 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int
-    max_body_bytes: int  # bytes of long request bodies held at a time
+    sockets: int  # limit on file descriptors
+    max_body_bytes: int  # long request bodies held at a time
     agreed: i.Agreement
     profiles: dict[str, int]
     connect_timeout_s: float
@@ -63,6 +63,7 @@
 
 
 def load(path: str):
+    """The parsed JSON of the file; raises StartUpError."""
     try:
         with open(path, "rb") as file:
             return orjson.loads(file.read())
@@ -73,6 +74,7 @@
 
 
 def decode(document, environ, path: str = "start-up file", fleet=None) -> StartUp:
+    """Raises StartUpError, which names the file by `path`."""
     try:
         return _decode(document, environ, fleet)
     except KeyError as error:
@@ -87,7 +89,7 @@
     if fleet is not None and not agreed.peers:
         raise ValueError(
             "settings.allowed.peers: this deployment allows no messages among proxies, "
-            "and a fleet file is named"
+            "but a fleet file is given"
         )
     agreed = agreed._replace(peers=False)  # only the simulator carries the messages that this setting allows
     name = str(document.get("name") or environ.get("RELAY_NAME") or "proxy")
@@ -98,7 +100,7 @@
     listing = document.get("known") or {"version": 0, "full": True, "servers": []}
     known_hosts = catalogue.listing(listing)
     if known_hosts is None:
-        raise ValueError("'known' is no list of hosts")
+        raise ValueError("'known' is not a list of hosts")
     descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     memory = int(document.get("limits", {}).get("memory_mb") or DEFAULT_MEMORY_MB)
     seed = document.get("seed", 0)
