--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Leaving hosts are left however the list comes: silent, reset, slow and lying discoveries."""
+"""Hosts that leave get no more work, whether discovery is silent, resets, is slow or sends wrong lists."""
 
 import asyncio
 import unittest
@@ -14,39 +14,41 @@
 from tests.loopback import Loopback
 
 
-def following(seed=1, **terms):
+def make_schedule(seed=1, **terms):
     return DiscoverySchedule(i.Agreement(**{**TERMS, "grace": 5_000, **terms}), Random(seed))
 
 
-class Rule(unittest.TestCase):
+class ScheduleRules(unittest.TestCase):
     @given(st.integers(0, 50_000), st.integers(0, 2**32))
-    def test_the_fourth_call_beside_a_silent_one_has_a_part_of_the_grace_left(self, grace, seed):
-        rule = following(seed, grace=grace)
-        begun = sum(rule.hedge_delay(calls) for calls in range(1, 4))
-        self.assertLessEqual(begun + (SILENCE_TIMEOUT + grace) // 5, SILENCE_TIMEOUT + grace)
-
-    def test_calls_that_break_beside_silent_ones_are_made_again_soon_and_no_more_than_three_times(self):
-        rule = following()
-        waits = [rule.hedge_delay_after_failure(1, failed, False) for failed in range(1, 6)]
+    def test_the_fourth_parallel_call_has_part_of_the_grace_left(self, grace, seed):
+        schedule = make_schedule(seed, grace=grace)
+        newest_begun = sum(schedule.hedge_delay(calls) for calls in range(1, 4))
+        self.assertLessEqual(newest_begun + (SILENCE_TIMEOUT + grace) // 5, SILENCE_TIMEOUT + grace)
+
+    def test_calls_that_fail_beside_silent_ones_are_retried_soon_at_most_three_times(self):
+        schedule = make_schedule()
+        waits = [schedule.hedge_delay_after_failure(1, failed, False) for failed in range(1, 6)]
         self.assertLess(sum(waits[:3]), 5_000)
-        self.assertEqual(waits[3:], [rule.hedge_delay(1)] * 2)
-        self.assertEqual(rule.hedge_delay_after_failure(1, 1, True), rule.hedge_delay(1))
-        self.assertGreaterEqual(following(proxies=100).hedge_delay_after_failure(1, 1, False), 5_000 - 1)
+        self.assertEqual(waits[3:], [schedule.hedge_delay(1)] * 2)
+        self.assertEqual(schedule.hedge_delay_after_failure(1, 1, True), schedule.hedge_delay(1))
+        self.assertGreaterEqual(make_schedule(proxies=100).hedge_delay_after_failure(1, 1, False), 5_000 - 1)
 
-    def test_calls_beside_one_for_pushed_news_come_within_the_grace_at_few_proxies_only(self):
+    def test_parallel_calls_for_a_pushed_list_come_within_the_grace_for_a_few_proxies_only(self):
         for proxies, most in ((1, 1_250), (12, 1_250), (30, 3_000), (2_000, 5_000)):
-            rule = following(list_on_request=False, proxies=proxies)
-            self.assertLessEqual(rule.hedge_delay(1, immediate=True), most)
-        self.assertEqual(rule.hedge_delay(1, immediate=True), rule.hedge_delay(1))
-        self.assertEqual(following().hedge_delay(1, immediate=True), following().hedge_delay(1))
+            schedule = make_schedule(list_on_request=False, proxies=proxies)
+            self.assertLessEqual(schedule.hedge_delay(1, immediate=True), most)
+        self.assertEqual(schedule.hedge_delay(1, immediate=True), schedule.hedge_delay(1))
+        self.assertEqual(make_schedule().hedge_delay(1, immediate=True), make_schedule().hedge_delay(1))
 
     @given(st.integers(1, 2_000), st.integers(0, 2**32))
-    def test_a_fleet_whose_calls_were_all_answered_at_once_does_not_call_at_once_again(self, proxies, seed):
-        self.assertEqual(following(ask_within=900_000).watch_wait(), 600_000)  # discovery waits no longer
-        waits = sorted(following(seed, proxies=proxies, position=n).watch_wait() for n in range(proxies))
+    def test_a_fleet_whose_calls_were_all_answered_at_once_spreads_its_next_calls(self, proxies, seed):
+        self.assertEqual(
+            make_schedule(ask_within=900_000).watch_wait(), 600_000
+        )  # discovery holds a watch no longer
+        waits = sorted(make_schedule(seed, proxies=proxies, position=n).watch_wait() for n in range(proxies))
         self.assertGreaterEqual(waits[0], 100_000)
         self.assertLess(waits[-1], 200_000)
-        for n, wait in enumerate(waits):  # each in its own part
+        for n, wait in enumerate(waits):  # each at its own offset
             self.assertIn(wait - 100_000 - n * 100_000 // proxies, range(-1, 100_000 // proxies + 2))
 
     @given(
@@ -56,57 +58,57 @@
         st.booleans(),
         st.integers(0, 2**32),
     )
-    def test_however_often_calls_have_failed_the_next_is_made_before_the_news_counts(
+    def test_after_any_number_of_failures_the_next_call_precedes_the_effect_of_a_change(
         self, failures, ask_within, drain_grace, pushed, seed
     ):
-        rule = following(seed, ask_within=ask_within, list_on_request=not pushed, grace=drain_grace)
+        schedule = make_schedule(seed, ask_within=ask_within, list_on_request=not pushed, grace=drain_grace)
         for _ in range(failures):
-            self.assertLessEqual(rule.retry_delay(overloaded=True), 20_000)
-        for event, grace in ((rule.on_move, 40_000), (rule.on_silence, SILENCE_TIMEOUT)):
-            rule.on_answer()
+            self.assertLessEqual(schedule.retry_delay(overloaded=True), 20_000)
+        for event, grace in ((schedule.on_move, 40_000), (schedule.on_silence, SILENCE_TIMEOUT)):
+            schedule.on_answer()
             for _ in range(failures):
-                rule.retry_delay(overloaded=True)
+                schedule.retry_delay(overloaded=True)
             event()
-            waits = [rule.retry_delay(overloaded=True) for _ in range(URGENT_RETRIES)]
+            waits = [schedule.retry_delay(overloaded=True) for _ in range(URGENT_RETRIES)]
             self.assertLessEqual(waits[0], 2_000)
             self.assertLessEqual(max(waits), 10_000)
             tries = sum(sum(waits[: n + 1]) < grace for n in range(URGENT_RETRIES))
-            self.assertGreaterEqual(tries, 4)  # of which one at least has time to be answered
+            self.assertGreaterEqual(tries, 4)  # so that at least one has time to be answered
 
-    def test_a_discovery_with_too_many_callers_is_called_less_often_each_time_while_urgent(self):
-        rule = following()
-        rule.on_move()
-        spans = [sum(rule.retry_delay(overloaded=True) for _ in range(4)) for _ in range(2)]
+    def test_an_overloaded_discovery_is_called_at_growing_intervals_while_urgent(self):
+        schedule = make_schedule()
+        schedule.on_move()
+        spans = [sum(schedule.retry_delay(overloaded=True) for _ in range(4)) for _ in range(2)]
         self.assertGreater(spans[1], 2 * spans[0])
-        for rule in (following(), following(list_on_request=False, proxies=200)):
-            self.assertGreaterEqual(min(rule.retry_delay(overloaded=True) for _ in range(4)), 10_000)
+        for schedule in (make_schedule(), make_schedule(list_on_request=False, proxies=200)):
+            self.assertGreaterEqual(min(schedule.retry_delay(overloaded=True) for _ in range(4)), 10_000)
 
-    def test_a_few_proxies_whose_list_is_pushed_call_within_the_grace_however_calls_fail(self):
-        for turned_away in (False, True):
-            rule = following(list_on_request=False, proxies=6)
-            self.assertLessEqual(max(rule.retry_delay(turned_away) for _ in range(40)), 2_500)
+    def test_a_few_proxies_with_a_pushed_list_retry_within_the_grace_after_any_failure(self):
+        for overloaded in (False, True):
+            schedule = make_schedule(list_on_request=False, proxies=6)
+            self.assertLessEqual(max(schedule.retry_delay(overloaded) for _ in range(40)), 2_500)
 
     @given(st.integers(100_000, 600_000), st.sampled_from(("retry_delay", "on_silence", "on_move")))
-    def test_the_watch_after_a_broken_one_is_short_and_answers_make_it_long_again(self, ask_within, event):
-        rule = following(ask_within=ask_within)
-        usual = rule.watch_wait()
-        getattr(rule, event)(*([True] if event == "retry_delay" else []))
-        seen_as_silent = rule.watch_wait() + rule.hedge_delay(1)
-        self.assertLessEqual(seen_as_silent, 60_000)  # before its news counts
+    def test_the_watch_after_a_failure_is_short_and_grows_with_each_answer(self, ask_within, event):
+        schedule = make_schedule(ask_within=ask_within)
+        regular_wait = schedule.watch_wait()
+        getattr(schedule, event)(*([True] if event == "retry_delay" else []))
+        seen_as_silent = schedule.watch_wait() + schedule.hedge_delay(1)
+        self.assertLessEqual(seen_as_silent, 60_000)  # before its changes take effect
         for _ in range(6):
-            rule.on_answer()
-        self.assertGreaterEqual(rule.watch_wait(), min(usual, 300_000) // 2)
+            schedule.on_answer()
+        self.assertGreaterEqual(schedule.watch_wait(), min(regular_wait, 300_000) // 2)
 
-    def test_a_new_process_calls_early_enough_for_a_second_call_before_news_counts(self):
+    def test_a_new_process_calls_early_enough_for_a_second_call_before_changes_take_effect(self):
         for proxies in (1, 7, 200):
             for position in range(proxies):
-                rule = following(proxies=proxies, position=position, ask_within=300_000)
-                self.assertLess(rule.initial_delay() + rule.retry_delay(overloaded=True), 60_000)
+                schedule = make_schedule(proxies=proxies, position=position, ask_within=300_000)
+                self.assertLess(schedule.initial_delay() + schedule.retry_delay(overloaded=True), 60_000)
 
 
 class Lists(unittest.TestCase):
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(("up", "draining", "removed")))))
-    def test_of_a_host_named_twice_the_line_by_which_it_leaves_counts(self, lines):
+    def test_of_two_lines_for_one_host_the_one_that_removes_it_takes_precedence(self, lines):
         servers = [{"id": name, "addr": "127.0.0.1:9", "state": state} for name, state in lines]
         found = catalogue.listing({"version": 3, "full": True, "servers": servers})
         self.assertEqual(
@@ -115,23 +117,23 @@
         )
 
 
-class Followed(Loopback):
-    async def leaves(self, seconds, mode, then=int):
-        """The watch has been answered once and then says nothing; the news is there for whoever asks anew."""
+class WatchedDiscovery(Loopback):
+    async def host_leaves(self, seconds, mode, then=int):
+        """The watch falls silent after one answer; a new call gets the change, and the host no more work."""
         caller = await self.play(SocketHost(), SocketHost(), mode=mode)
         self.discovery.tell(2)
         self.assertEqual([await self.discovery.got.get() for _ in range(2)][1].split("&")[0][-7:], "index=2")
         then()
         self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
-        self.discovery.news.put_nowait(b"")  # taken by the one that said nothing
+        self.discovery.news.put_nowait(b"")  # goes to the silent watch
         self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
         await self.until(lambda: not self.service.owner.roster.ready(0))
         self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
         self.assertEqual(self.hosts[0].got.qsize(), 0)
         await self.until(lambda: len(self.service.watch.calls) == 1)
 
-    async def test_the_first_watch_of_a_process_is_short_and_those_after_answers_grow(self):
-        # guards against a first watch that falls silent, and is missed only after its news counts
+    async def test_the_first_watch_of_a_process_is_short_and_grows_with_each_answer(self):
+        # A long first watch that fell silent was detected only after its changes had taken effect.
         rules = {**SETTINGS["rules"], "ask_within_ns": 20_000_000_000, "drain_grace_ns": 500_000_000}
         for mode, longest in (("pushed", 8_000), ("on_request", 4_000)):
             waits = []
@@ -140,23 +142,23 @@
                 line = await asyncio.wait_for(self.discovery.got.get(), 5)
                 waits.append(int(line.rsplit("wait=", 1)[1]))
                 self.discovery.tell(1)
-            waits = [wait for wait in waits if wait]  # a pushed list is asked for once with none
+            waits = [wait for wait in waits if wait]  # a pushed list is asked for once without a wait
             self.assertLessEqual(waits[0], longest)
             self.assertGreater(waits[-1], waits[0])
             await self.stop()
 
-    async def test_a_silent_watch_gets_a_call_beside_it_before_its_news_counts(self):
-        # guards against waiting for it until its news counts, 2 s past its wait, and then for a while more
+    async def test_a_silent_watch_gets_a_parallel_call_before_its_changes_take_effect(self):
+        # Waiting for the silent watch would take until after its changes are in effect, 2 s past its wait.
         for mode in ("on_request", "pushed"):
-            await self.leaves(2.0, mode)
+            await self.host_leaves(2.0, mode)
             await self.stop()
 
-    async def test_a_reset_watch_of_a_pushed_list_is_opened_again_within_the_grace(self):
-        # guards against a watch that is never opened again: from then on the process followed no list
-        await self.leaves(0.5, "pushed", lambda: self.discovery.writers[-1].transport.abort())
+    async def test_a_reset_watch_of_a_pushed_list_is_reopened_within_the_grace(self):
+        # A watch that was never reopened left the process without any list updates.
+        await self.host_leaves(0.5, "pushed", lambda: self.discovery.writers[-1].transport.abort())
 
-    async def test_a_pushed_watch_opened_again_that_is_silent_from_the_first_gets_a_call_beside_it(self):
-        # guards against news that counts at discovery's return, looked for on one silent connection alone
+    async def test_a_reopened_watch_of_a_pushed_list_that_is_silent_gets_a_parallel_call(self):
+        # Changes take effect when discovery is back; one silent connection alone would miss them.
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.play(SocketHost(), mode="pushed", rules=rules)
         self.discovery.tell(2)
@@ -165,17 +167,17 @@
         self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.3))
         self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.2))
 
-    async def test_a_call_that_breaks_beside_a_silent_one_is_made_again_within_the_grace(self):
-        # guards against news lost with an answer, while another call that says nothing is waited for
+    async def test_a_call_that_fails_beside_a_silent_one_is_retried_within_the_grace(self):
+        # The failed answer may have carried a change, and the other call stays silent.
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.play(SocketHost(), rules=rules)
         self.discovery.tell(2)
-        for _ in range(3):  # the first, the silent one, and the one beside it
+        for _ in range(3):  # the first call, the silent one and the parallel one
             await asyncio.wait_for(self.discovery.got.get(), 2)
         self.discovery.writers[-1].transport.abort()
         await asyncio.wait_for(self.discovery.got.get(), 0.3)
 
-    async def test_a_list_of_changes_is_not_taken_for_the_whole_list_of_another_discovery(self):
+    async def test_changes_from_another_discovery_are_not_applied_before_its_whole_list(self):
         await self.play(SocketHost(), SocketHost())
         await self.discovery.got.get()
         moved = await self.started(SocketDiscovery())
@@ -186,7 +188,7 @@
         moved.tell(9, self.hosts[0].line("s-0"), full=True)
         await self.until(lambda: not self.service.owner.roster.ready(1))
 
-    async def test_sighup_with_the_same_address_calls_at_once_where_a_call_waits_for_its_time(self):
+    async def test_sighup_with_the_same_address_makes_a_pending_retry_at_once(self):
         await self.play(SocketHost())
         await self.discovery.got.get()
         watch, address = self.service.watch, self.service.watch.address
@@ -197,16 +199,19 @@
         watch.move(address)
         self.assertIn("index=1", await asyncio.wait_for(self.discovery.got.get(), 1))
 
-    async def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(self):
-        # guards against asking for ever for what is newer than a version it will never reach
+    async def test_a_discovery_with_a_lower_version_is_asked_for_the_whole_list(self):
+        # Otherwise it would be asked forever for changes after a version that it never reaches.
         await self.play(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
             self.discovery.tell(version, self.hosts[0].line("s-0", state="draining"), full=full)
         asked = [await self.discovery.got.get() for _ in range(4)]
         self.assertEqual((asked[2], "index=2&" in asked[3]), ("/catalog/members", True))
 
-    async def test_a_discovery_that_answers_at_once_for_ever_is_called_a_bounded_number_of_times(self):
-        for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):  # the same list on and on; ever newer
+    async def test_a_discovery_that_always_answers_at_once_is_called_at_a_bounded_rate(self):
+        for version, most in (
+            (lambda n: 2, 8),
+            (lambda n: n, 110),
+        ):  # always the same list; a new one each time
             await self.play(SocketHost())
             for n in range(2, 1_000):
                 self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
@@ -214,7 +219,7 @@
             self.assertIn(self.discovery.got.qsize(), range(3, most))
             await self.stop()
 
-    async def test_a_list_of_eleven_hundred_hosts_is_followed_and_those_that_leave_are_left(self):
+    async def test_a_list_of_eleven_hundred_hosts_is_applied_and_its_changes_too(self):
         caller = await self.play(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
         self.discovery.tell(2, *lines, full=True)
@@ -223,7 +228,7 @@
         await self.until(lambda: len(self.service.owner.proxy.ready) == 1)
         self.assertEqual(await caller.outcome(), 200)
 
-    async def test_a_pushed_process_is_ready_once_it_has_heard_and_serves_on_while_discovery_is_down(self):
+    async def test_with_a_pushed_list_a_process_is_ready_after_its_first_answer_and_outlives_discovery(self):
         caller = await self.play(SocketHost(), SocketHost(), mode="pushed")
         self.assertFalse(self.service.clients.ready)
         self.assertIn("wait=0", await self.discovery.got.get())
@@ -231,7 +236,7 @@
         await self.until(lambda: self.service.clients.ready)
         self.assertFalse(self.service.owner.roster.ready(0))
         await self.discovery.stop()
-        await asyncio.sleep(0.6)  # asked on and on, within half of the grace
+        await asyncio.sleep(0.6)  # it keeps calling, within half of the grace
         lost = [line for line in self.log.lines if line["event"] == "list lost"]
         self.assertIn(len(lost), range(2, 8))
         self.assertTrue(all(line["again_ms"] <= 250 for line in lost))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: records, the inherited socket, who serves; two processes of one proxy on loopback."""
+"""Hot restart: records, the inherited socket, the serving process; two processes of one proxy on loopback."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 class Records(Folder):
-    def test_a_record_comes_back_and_a_later_one_takes_its_place(self):
+    def test_a_record_is_read_back_and_a_later_one_replaces_it(self):
         self.assertIsNone(record.read(self.path))
         for value in ({"a": [1, "x"]}, {}):
             self.assertEqual(record.write(self.path, value), "")
@@ -40,11 +40,11 @@
         self.assertEqual(os.listdir(self.folder.name), ["record"])
 
     @given(st.binary(max_size=300))
-    def test_no_bytes_are_a_fault(self, data):
+    def test_no_bytes_raise_an_exception(self, data):
         record.decode(data)
 
     @given(st.integers(0, 200), st.integers(0, 255))
-    def test_a_record_cut_or_changed_anywhere_is_bad(self, at, byte):
+    def test_a_record_truncated_or_changed_anywhere_is_rejected(self, at, byte):
         whole = record.encode({"orders": ["s-1", "s-2"], "n": 12345})
         at %= len(whole)
         self.assertIsInstance(record.decode(whole[:at]), BadRecord)
@@ -52,7 +52,7 @@
         if changed != whole:
             self.assertIsInstance(record.decode(changed), BadRecord)
 
-    def test_what_is_not_ours_alone_is_not_read_and_what_cannot_be_written_is_said(self):
+    def test_files_others_can_write_are_not_read_and_a_failed_write_returns_an_error(self):
         record.write(self.path, 1)
         os.chmod(self.path, 0o662)
         self.assertIsInstance(record.read(self.path), BadRecord)
@@ -61,12 +61,12 @@
         self.assertIsInstance(record.read(self.path), BadRecord)
         self.assertIn("cannot write", record.write(os.path.join(self.folder.name, "none", "x"), 1))
 
-    def test_a_neighbour_is_alive_until_its_end_and_one_that_was_killed_is_not(self):
+    def test_a_process_is_alive_until_it_ends_or_is_killed(self):
         one, other = ProcessRegistry(self.folder.name, "n/1"), ProcessRegistry(self.folder.name, "n/1")
         self.assertEqual((one.register(), other.register(), one.serving_process()), ("", "", ""))
         self.assertEqual((one.claim_serving(), other.serving_process()), ("", one.own_id))
         self.assertTrue(other.is_alive(one.own_id))
-        os.close(one.lock_fd)  # as a kill does
+        os.close(one.lock_fd)  # as the kernel does for a killed process
         self.assertFalse(other.is_alive(one.own_id))
         killed = [ProcessRegistry(self.folder.name, "n/1") for _ in range(3)]
         for each in killed:
@@ -79,7 +79,7 @@
 
 
 class Inherited(unittest.TestCase):
-    def test_only_a_tcp_socket_that_listens_on_the_address_told_is_taken(self):
+    def test_only_a_tcp_socket_that_listens_on_the_configured_address_is_accepted(self):
         with (
             socket.create_server(("127.0.0.1", 0)) as server,
             socket.socket() as idle,
@@ -87,7 +87,7 @@
             open(os.devnull) as file,
         ):
             address = server.getsockname()
-            for told, where in (
+            for descriptor, where in (
                 (str(idle.fileno()), address),
                 (str(packets.fileno()), address),
                 (str(file.fileno()), address),
@@ -97,40 +97,40 @@
                 (str(server.fileno()), ("127.0.0.1", 1)),
                 (str(server.fileno()), ("127.0.0.9", address[1])),
             ):
-                with self.assertRaises(InheritedSocketError, msg=(told, where)):
-                    open_inherited(told, where)
+                with self.assertRaises(InheritedSocketError, msg=(descriptor, where)):
+                    open_inherited(descriptor, where)
             ours = open_inherited(str(server.fileno()), address)
             self.assertEqual((ours.getsockname(), ours.getblocking()), (address, False))
             ours.detach()
 
 
-class Knowledge(unittest.TestCase):
-    """What a proxy has learned, as its successor has it."""
+class PolicyState(unittest.TestCase):
+    """The policy state of a proxy as restored in its successor."""
 
     def upgraded(self, stage, hosts, wait=0):
-        """A new proxy with the same hosts and what the old one has left as JSON."""
+        """A new proxy with the same hosts and the old one's state, passed on as JSON."""
         ids = {h.line.host: f"s-{h.line.host}" for h in hosts}
-        left = json.loads(json.dumps(knowledge.export_state(stage.proxy, ids, NAMES)))
+        state = json.loads(json.dumps(knowledge.export_state(stage.proxy, ids, NAMES)))
         successor = Stage(hosts, seed=2)
         successor.now = stage.now + wait
-        fitted = knowledge.restore_state(
-            successor.proxy, left, {name: n for n, name in ids.items()}, NAMES, successor.now, 30_000
+        restored = knowledge.restore_state(
+            successor.proxy, state, {name: n for n, name in ids.items()}, NAMES, successor.now, 30_000
         )
-        return successor, fitted
+        return successor, restored
 
     def test_bans_hold_and_end_when_they_would_have(self):
         hosts = [FakeHost(0, outcome=i.UNREACHABLE), FakeHost(1)]
         stage = Stage(hosts)
         stage.many(10)
-        new, fitted = self.upgraded(stage, hosts)
-        self.assertEqual(fitted, 2)
+        new, restored = self.upgraded(stage, hosts)
+        self.assertEqual(restored, 2)
         got = len(hosts[0].got)
         new.many(5)
         self.assertEqual(len(hosts[0].got), got)
         later, _ = self.upgraded(stage, hosts, wait=200_000)
         self.assertFalse(later.proxy.away(later.proxy.servers[0], "ban"))
 
-    def test_a_fresh_host_keeps_its_age_and_what_it_was_sent_and_one_restarted_is_new(self):
+    def test_a_cold_host_keeps_its_age_and_sent_times_and_a_restarted_one_is_new(self):
         hosts = [FakeHost(0), FakeHost(1, started=1_000_000)]
         stage = Stage(hosts)
         stage.many(60)
@@ -140,11 +140,11 @@
         self.assertEqual((server.fresh_from, list(server.sent.times)), (old.fresh_from, list(old.sent.times)))
         self.assertEqual(new.proxy.usual_rate, stage.proxy.usual_rate)
         hosts[1].line = hosts[1].line._replace(started=stage.now)
-        again, fitted = self.upgraded(stage, hosts)
-        self.assertEqual((fitted, again.proxy.servers[1].fresh_from), (1, stage.now))
+        again, restored = self.upgraded(stage, hosts)
+        self.assertEqual((restored, again.proxy.servers[1].fresh_from), (1, stage.now))
         self.assertFalse(again.proxy.servers[1].sent.times)
 
-    def test_how_crowded_hosts_were_fades(self):
+    def test_the_estimate_of_load_decays(self):
         hosts = [FakeHost(0), FakeHost(1)]
         stage = Stage(hosts)
         stage.many(5)
@@ -152,13 +152,13 @@
         self.assertEqual(self.upgraded(stage, hosts)[0].proxy.strain, 3.0)
         self.assertEqual(self.upgraded(stage, hosts, wait=30_000)[0].proxy.strain, 2.0)
 
-    def test_what_is_not_sound_is_an_error_that_is_foreseen(self):
+    def test_invalid_state_raises_a_documented_error(self):
         hosts = [FakeHost(0)]
-        for left in ({}, {"at": 1}, {"at": "x", "born": 0}, [], None):
+        for state in ({}, {"at": 1}, {"at": "x", "born": 0}, [], None):
             with self.assertRaises((ValueError, TypeError, KeyError, AttributeError)):
-                knowledge.restore_state(Stage(hosts).proxy, left, {}, NAMES, 1_000_000, 30_000)
+                knowledge.restore_state(Stage(hosts).proxy, state, {}, NAMES, 1_000_000, 30_000)
 
-    def test_while_two_processes_live_each_keeps_to_half_of_a_fresh_hosts_slice(self):
+    def test_while_two_processes_run_each_uses_half_of_a_cold_hosts_limit(self):
         sent = []
         for processes in (1, 2):
             hosts = [FakeHost(n) for n in range(3)] + [FakeHost(3, started=2_000_000)]
@@ -193,7 +193,7 @@
             json.dump(start_up(self.hosts, self.discovery, listen, console="127.0.0.1:0"), file)
 
     async def start(self, *before, **more):
-        """`before`: lines that it says before it is ready."""
+        """`before`: events that it logs before it is ready."""
         number = self.socket.fileno()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -226,8 +226,8 @@
         await caller.stop()
         return status, body
 
-    async def asks_on(self, until, answers):
-        """Keeps a connection as long as it may; one that breaks under it is noted as None."""
+    async def send_requests(self, until, answers):
+        """Sends requests on one connection until it is closed; a broken connection is recorded as None."""
         caller = None
         while not until.is_set():
             caller = caller or await Caller().to(self.address)
@@ -245,7 +245,7 @@
 
     async def test_upgrades_under_load_refuse_reset_and_lose_nothing(self):
         process, until, answers = await self.start(), asyncio.Event(), []
-        load = [asyncio.create_task(self.asks_on(until, answers)) for _ in range(4)]
+        load = [asyncio.create_task(self.send_requests(until, answers)) for _ in range(4)]
         for _ in range(3):
             await asyncio.sleep(0.1)
             successor = await self.start()
@@ -260,7 +260,7 @@
         self.assertEqual(set(answers), {200})
         self.assertGreater(len(answers), 50)
 
-    async def test_what_the_staff_has_ordered_holds_in_old_and_new_and_after_a_kill(self):
+    async def test_operators_orders_hold_in_both_processes_and_after_a_kill(self):
         old = await self.start()
         self.assertEqual((await self.call(old, "PUT", "hosts/s-0/disable"))[0], 200)
         new = await self.start()
@@ -277,17 +277,17 @@
 
     async def test_an_order_that_could_not_be_written_at_once_is_written_later(self):
         process = await self.start()
-        in_the_way = os.path.join(self.folder, f"basalthook-n1.orders.{process.pid}.part")
-        os.mkdir(in_the_way)
+        blocking_path = os.path.join(self.folder, f"basalthook-n1.orders.{process.pid}.part")
+        os.mkdir(blocking_path)
         status, body = await self.call(process, "PUT", "hosts/s-0/disable")
         self.assertEqual((status, b"cannot write" in body), (200, True))
-        os.rmdir(in_the_way)
+        os.rmdir(blocking_path)
         await asyncio.wait_for(self.line(process, "orders kept"), 5)
         await self.kill(process)
         last = await self.start()
         self.assertEqual((await self.call(last, "GET", "hosts"))[1].count(b'"out":true'), 1)
 
-    async def test_the_old_one_serves_on_if_its_successor_is_killed(self):
+    async def test_the_old_process_serves_again_if_its_successor_is_killed(self):
         old = await self.start()
         new = await self.start()
         await self.line(old, "succeeded")
@@ -298,7 +298,7 @@
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
             await caller.stop()
 
-    async def test_a_successor_goes_on_alone_if_the_old_one_is_killed_with_work_in_hand(self):
+    async def test_a_successor_goes_on_alone_if_the_old_process_is_killed_with_open_requests(self):
         for host in self.hosts:
             host.ways = [SILENT]
         old = await self.start()
@@ -315,7 +315,7 @@
         self.assertEqual(await again.outcome(), 200)
         await again.stop()
 
-    async def test_a_drained_proxy_is_upgraded_and_stays_drained(self):
+    async def test_a_drained_proxy_stays_drained_after_an_upgrade(self):
         old = await self.start()
         await self.call(old, "PUT", "drain")
         new = await self.start()
@@ -326,7 +326,7 @@
         self.assertEqual((await self.call(new, "GET", "ready"))[0], 200)
         self.assertEqual((await self.call(new, "PUT", "resume"))[0], 200)
 
-    async def test_records_that_are_broken_and_folders_that_are_none_are_one_line_each(self):
+    async def test_broken_records_and_missing_folders_are_logged_in_one_line_each(self):
         await self.kill(await self.start())
         for name in os.listdir(self.folder):
             if name.endswith((".orders", ".known", ".serving")):
@@ -339,7 +339,7 @@
             await caller.stop()
             await self.kill(process)
 
-    async def test_a_descriptor_that_is_none_is_one_line_and_not_zero(self):
+    async def test_a_bad_descriptor_is_an_error_of_one_line_and_a_nonzero_exit_code(self):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -349,6 +349,6 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
-        _, said = await process.communicate()
-        self.assertEqual((process.returncode, said.count(b"\n")), (2, 1))
-        self.assertIn(b"RELAY_FD", said)
+        _, errors = await process.communicate()
+        self.assertEqual((process.returncode, errors.count(b"\n")), (2, 1))
+        self.assertIn(b"RELAY_FD", errors)
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""A late process: its own lateness is nobody else's, and it takes no more than it can serve."""
+"""A process that lags: it blames no host for its own lag, and accepts no more than it can serve."""
 
 import asyncio
 import socket
@@ -26,53 +26,53 @@
 GOAL = 1_500
 
 
-class TheDoor(unittest.TestCase):
-    def test_short_stalls_and_light_waits_turn_nobody_away(self):
-        door = AdmissionControl(GOAL, Random(1))
-        waits = [20] * 400 + [400] * 10 + [20] * 400  # a stall of 40 ms in between
-        self.assertTrue(all(door.admit(n, wait) for n, wait in enumerate(waits)))
+class Admission(unittest.TestCase):
+    def test_short_stalls_and_short_waits_reject_nothing(self):
+        control = AdmissionControl(GOAL, Random(1))
+        waits = [20] * 400 + [400] * 10 + [20] * 400  # with a stall of 40 ms
+        self.assertTrue(all(control.admit(n, wait) for n, wait in enumerate(waits)))
 
-    def test_with_twice_the_work_it_settles_where_the_rest_is_in_time(self):
-        """One worker; turning away costs it a tenth of a transaction; arrivals at twice its rate."""
-        door, chance, free, waits, taken = AdmissionControl(GOAL, Random(1)), Random(2), 0.0, [], 0
+    def test_at_twice_the_capacity_what_is_accepted_is_served_in_time(self):
+        """One worker, arrivals at twice its rate; a rejection costs a tenth of a transaction."""
+        control, chance, free, waits, taken = AdmissionControl(GOAL, Random(1)), Random(2), 0.0, [], 0
         now = 0.0
         for n in range(40_000):
             now += chance.expovariate(1 / 2.0)
             free = max(free, now)
-            admitted = door.admit(int(free), int(free - now))
+            admitted = control.admit(int(free), int(free - now))
             free += 4.0 if admitted else 0.4
             if n > 20_000:
                 taken += admitted
                 waits.append(free - now if admitted else 0)
         self.assertLess(sorted(waits)[len(waits) * 99 // 100], GOAL)
-        self.assertGreater(taken / 20_000, 0.4)  # of the 45 in 100 that the worker could do
+        self.assertGreater(taken / 20_000, 0.4)  # of the 45 % that the worker could serve
 
-    def test_what_is_too_late_already_is_turned_away_and_quiet_times_open_the_door(self):
-        door = AdmissionControl(GOAL, Random(1))
-        self.assertFalse(door.admit(0, GOAL))
+    def test_arrivals_beyond_the_goal_are_rejected_and_idle_time_ends_rejection(self):
+        control = AdmissionControl(GOAL, Random(1))
+        self.assertFalse(control.admit(0, GOAL))
         for n in range(1_000):
-            door.admit(n, GOAL - 1)
-        self.assertEqual(door.rejected_share(), 1.0)
-        self.assertTrue(door.admit(60_000, 0))  # five seconds later
-        self.assertLess(door.rejected_share(), 0.01)
+            control.admit(n, GOAL - 1)
+        self.assertEqual(control.rejected_share(), 1.0)
+        self.assertTrue(control.admit(60_000, 0))  # 5.9 s later
+        self.assertLess(control.rejected_share(), 0.01)
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.integers(0, 100_000)), max_size=200))
-    def test_shares_and_come_back_times_stay_in_their_bounds(self, arrivals):
-        door, now = AdmissionControl(GOAL, Random(1)), 0
+    def test_rejected_shares_and_retry_times_stay_in_their_bounds(self, arrivals):
+        control, now = AdmissionControl(GOAL, Random(1)), 0
         for gap, waited in arrivals:
             now += gap
-            door.admit(now, waited)
-            self.assertTrue(0 <= door.mean_wait <= GOAL and 0 <= door.rejected_share() <= 1)
-            self.assertTrue(GOAL / 2 <= door.retry_after() <= 6 * GOAL)
+            control.admit(now, waited)
+            self.assertTrue(0 <= control.mean_wait <= GOAL and 0 <= control.rejected_share() <= 1)
+            self.assertTrue(GOAL / 2 <= control.retry_after() <= 6 * GOAL)
         self.assertLess(REJECTION_START, REJECTION_FULL)
 
 
-class SingleSilences(unittest.TestCase):
+class SilentHosts(unittest.TestCase):
     def stage(self, **terms):
         return Stage([FakeHost(n) for n in range(2)], proxies=1, **terms)
 
-    def test_a_hop_that_later_ones_overtook_holds_no_place_and_tells_of_no_crowd(self):
-        """Five of them stood out at any time, and hosts that answered all others got no more (G 0.55)."""
+    def test_an_attempt_overtaken_by_later_ones_takes_no_capacity_and_signals_no_overload(self):
+        """Five such attempts were always pending, so hosts that answered all others got no more (G 0.55)."""
         stage = self.stage(elapsed=20)
         stage.many(50)
         stage.turn(None)
@@ -89,7 +89,7 @@
             self.assertLess(server.strain, max(1.5, before[server.id] + 0.5))
             self.assertEqual(server.away, {})
 
-    def test_a_host_that_answers_nothing_any_more_is_still_banned(self):
+    def test_a_host_that_stops_answering_is_still_banned(self):
         stage = self.stage()
         stage.many(20)
         stage.turn(None)
@@ -99,8 +99,8 @@
             stage.end(tx, 0, stage.sends()[tx], i.TIMED_OUT, elapsed=9_000)
         self.assertTrue(any(stage.proxy.away(s, "ban") for s in stage.proxy.servers.values()))
 
-    def test_silence_that_nobody_looked_at_is_none(self):
-        """Answers that lay unread made every host look silent."""
+    def test_silence_during_own_lag_does_not_count(self):
+        """While answers lay unread, every host looked silent."""
         stage = self.stage()
         stage.many(20)
         stage.turn(None)
@@ -112,47 +112,47 @@
             self.assertEqual(stage.proxy.doubtful(server, stage.proxy.txs[tx]), silent)
 
 
-class Clockwork(unittest.IsolatedAsyncioTestCase):
-    async def test_timers_go_off_in_order_and_cancelled_ones_never(self):
-        standing, rung = [time.monotonic_ns() // 100_000], []  # the clock stands until all are set
+class TimersAndStamps(unittest.IsolatedAsyncioTestCase):
+    async def test_timers_run_in_order_and_cancelled_ones_never(self):
+        frozen_time, fired = [time.monotonic_ns() // 100_000], []  # the clock stands still until all are set
 
         def clock() -> int:
-            return standing[0] if standing else time.monotonic_ns() // 100_000
+            return frozen_time[0] if frozen_time else time.monotonic_ns() // 100_000
 
         timers = Timers(clock, 10_000)
-        kept = [timers.set(delay, rung.append, delay) for delay in (90, 30, 60)]
-        dropped = [timers.set(20, rung.append, "cancelled") for _ in range(2 * COMPACT_FROM)]
+        kept = [timers.set(delay, fired.append, delay) for delay in (90, 30, 60)]
+        dropped = [timers.set(20, fired.append, "cancelled") for _ in range(2 * COMPACT_FROM)]
         for entry in dropped + dropped:
             timers.cancel(entry)
         self.assertLessEqual(len(timers.heap), COMPACT_FROM + len(kept))
-        standing.clear()
+        frozen_time.clear()
         await asyncio.sleep(0.02)
-        self.assertEqual(rung, [30, 60, 90])
+        self.assertEqual(fired, [30, 60, 90])
         timers.cancel(kept[0])
         self.assertEqual((timers.heap, timers.cancelled, timers.alarm), ([], 0, None))
 
-    async def test_bytes_that_lay_unread_tell_for_how_long(self):
+    async def test_unread_bytes_report_how_long_they_waited(self):
         if arrival.OPTION is None:
-            self.skipTest("this system stamps nothing")
+            self.skipTest("this system has no arrival time stamps")
         with socket.create_server(("127.0.0.1", 0)) as server:
             arrival.stamp(server)
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        connection, told = Connection(ours, BufferPool(64, 8), Descriptors(64)), []
-        connection.follow(lambda part, late: told.append(late), None)
-        await asyncio.sleep(0.05)  # the system begins with its stamps a moment after it is asked
+        connection, waits = Connection(ours, BufferPool(64, 8), Descriptors(64)), []
+        connection.follow(lambda part, late: waits.append(late), None)
+        await asyncio.sleep(0.05)  # time stamps start a moment after they are requested
         for pause in (0, 0.05):
             theirs.send(b"x")
             time.sleep(pause)
-            while len(told) < (2 if pause else 1):
+            while len(waits) < (2 if pause else 1):
                 await asyncio.sleep(0)
-        self.assertLess(told[0], told[1])
-        self.assertGreaterEqual(told[1], 50_000_000)
+        self.assertLess(waits[0], waits[1])
+        self.assertGreaterEqual(waits[1], 50_000_000)
         connection.close()
         theirs.close()
 
-    async def test_a_connection_that_is_up_is_not_given_up(self):
-        """The timer came before the loop had looked, and a sound host was banned for ten seconds."""
+    async def test_an_established_connection_is_not_given_up(self):
+        """The timer ran before the loop had polled the socket, and a healthy host was banned for 10 s."""
         with socket.create_server(("127.0.0.1", 0)) as server:
             connection, up = Connection.towards(server.getsockname(), BufferPool(64, 8), Descriptors(64)), []
             connection.connect(server.getsockname(), up.append)
@@ -163,7 +163,7 @@
             self.assertEqual(up, [None])
             connection.close()
 
-    async def test_a_connection_that_was_refused_is_no_sound_one_to_a_late_timer(self):
+    async def test_a_late_timer_does_not_take_a_refused_connection_for_an_established_one(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
         connection, up = Connection.towards(address, BufferPool(64, 8), Descriptors(64)), []
@@ -175,10 +175,10 @@
 
 
 class Stalled(unittest.TestCase):
-    """The whole proxy on a loop that another program holds up."""
+    """The whole proxy on an event loop that is blocked for a while."""
 
     def setUp(self):
-        """The system begins to stamp a moment after the first socket that asks for it."""
+        """The system starts its time stamps a moment after the first socket that requests them."""
         asks = socket.socket()
         self.addCleanup(asks.close)
         arrival.stamp(asks)
@@ -209,8 +209,8 @@
         self.assertEqual([line for line in log if line["event"] == "fault"], [])
         return log
 
-    def test_an_answer_that_came_in_time_counts_though_the_loop_stood_still(self):
-        """A hop's limit, the second look and the connect timer all fall due during the stall."""
+    def test_an_answer_that_arrived_in_time_counts_although_the_loop_was_blocked(self):
+        """The attempt's limit, the second look and the connect timer all fall due during the stall."""
         host = SocketHost(SILENT)
 
         async def story(service, address):
@@ -227,7 +227,7 @@
 
         self.assertEqual([line for line in self.play(story, host) if line["event"] == "hop"], [])
 
-    def test_what_lay_unread_for_longer_than_its_goal_is_rolled_back_and_reaches_no_host(self):
+    def test_requests_unread_for_longer_than_their_goal_are_rolled_back_and_reach_no_host(self):
         host = SocketHost()
 
         async def story(service, address):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log goes on whatever it is told."""
+"""The log keeps writing whatever values its events have."""
 
 import json
 import os
@@ -9,21 +9,21 @@
 from basalthook.program.log import Log
 
 
-class Written(unittest.TestCase):
+class LogLines(unittest.TestCase):
     def written(self, *events):
-        """What the log wrote of these events, line by line."""
+        """The lines that the log wrote for these events, parsed."""
         reading, writing = os.pipe()
         with patch("sys.stdout") as stdout, os.fdopen(reading) as lines:
             stdout.fileno.return_value = writing
             log = Log("p0")
             for name, fields in events:
                 log.say(name, **fields)
-                time.sleep(0.1)  # each in a write of its own
+                time.sleep(0.1)  # so that each is written separately
             log.close()
             os.close(writing)
             return [json.loads(line) for line in lines]
 
-    def test_a_field_that_is_no_json_does_not_end_the_log(self):
+    def test_a_field_that_json_cannot_encode_does_not_stop_the_log(self):
         events = ("surrogate", {"path": "/a\udc80"}), ("long", {"number": 2**70}), ("last", {"n": 1})
         lines = self.written(*events)
         self.assertEqual([line["event"].strip("'") for line in lines], ["surrogate", "long", "last"])
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -1,4 +1,4 @@
-"""An operator's old start-up file, and what becomes of it."""
+"""Migration of an old start-up file to the new format."""
 
 import asyncio
 import json
@@ -25,20 +25,20 @@
         self.example = json.loads(Path(EXAMPLE).read_text())
         self.put(self.example)
 
-    def put(self, told):
-        Path(self.old).write_text(told if isinstance(told, str) else json.dumps(told))
+    def put(self, document):
+        Path(self.old).write_text(document if isinstance(document, str) else json.dumps(document))
 
     def files(self):
         return {path.name: path.read_text() for path in Path(self.folder).iterdir()}
 
-    def run_it(self, *words):
+    def migrate(self, *words):
         done = CliRunner().invoke(commands.main, ["migrate", self.old, *words])
         return done.exit_code, done.stdout, done.stderr
 
     def change(self, **settings):
         return {**self.example, "settings": {**self.example["settings"], **settings}}
 
-    def test_a_wrong_value_is_named_by_its_path_and_without_the_new_ones_all_is_as_it_was(self):
+    def test_a_wrong_value_is_reported_with_its_path_and_new_fields_default_to_old_behaviour(self):
         agreed = startup.decode(self.example, {}).agreed
         self.assertEqual((agreed.live_weights, agreed.peers, agreed.list_on_request), (False, False, True))
         allowed = self.example["settings"]["allowed"]
@@ -55,14 +55,14 @@
                 with self.assertRaisesRegex(startup.StartUpError, f"^here: {path}: "):
                     startup.decode(self.change(**{name: wrong}), {}, "here")
 
-    def test_placement_and_what_binds_come_from_the_file_and_a_wrong_place_is_named(self):
+    def test_placement_and_binding_rules_are_read_and_a_wrong_placement_is_reported(self):
         first, *others = self.example["settings"]["profiles"]
         rules = {**self.example["settings"]["rules"], "only_draining_binds": True}
 
         def agreed(**bound):
             both = [{**first, **bound}, *others]
-            told = self.change(areas=["a", "b"], host_types=["m"], rules=rules, profiles=both)
-            return startup.decode(told, {}, "here").agreed
+            document = self.change(areas=["a", "b"], host_types=["m"], rules=rules, profiles=both)
+            return startup.decode(document, {}, "here").agreed
 
         found = agreed(stays_in=["b"], host_types_open=["m"])
         self.assertEqual((*found.profiles[0][-2:], found.only_draining_binds), ({"b"}, {"m"}, True))
@@ -70,20 +70,20 @@
             with self.assertRaisesRegex(startup.StartUpError, f"^here: settings[.]profiles.+[.]{name}: "):
                 agreed(**{name: wrong})
 
-    def test_what_is_left_to_decide_is_named_and_a_dry_run_says_the_same_and_changes_nothing(self):
+    def test_open_decisions_are_reported_and_a_dry_run_prints_the_same_and_writes_nothing(self):
         before = self.files()
-        code, out, dry = self.run_it("--output", self.new, "--dry-run")
+        code, out, dry = self.migrate("--output", self.new, "--dry-run")
         self.assertEqual((code, out, self.files()), (1, "", before))
-        self.assertEqual(self.run_it("--output", self.new), (1, "", dry))
+        self.assertEqual(self.migrate("--output", self.new), (1, "", dry))
         for path in ("listen", "settings.balancers", "settings.position"):
             self.assertIn(f"by hand  {path}: ", dry)
         agreed = startup.read(self.new, {}).agreed
         self.assertEqual((agreed.live_weights, agreed.list_on_request), (True, False))
         self.assertEqual(self.files()["old.json"], before["old.json"])
 
-    def test_what_can_not_be_used_leaves_all_files_as_they_were(self):
+    def test_an_unusable_file_leaves_all_files_unchanged(self):
         unknown = self.change(load_report={"how": "inline"})
-        for told, words, code, says in (
+        for document, words, code, expected in (
             ("{", (), 2, "no JSON"),
             ("[]", (), 2, "no start-up file"),
             ({"settings": 1}, (), 2, "settings"),
@@ -92,24 +92,24 @@
             (self.example, ("--output", self.old), 2, "--replace"),
             (self.change(weights="live", discovery="pushed"), (), 0, "new shape already"),
         ):
-            self.put(told)
+            self.put(document)
             before = self.files()
-            found, _, err = self.run_it(*(words or ("--output", self.new)))
+            found, _, err = self.migrate(*(words or ("--output", self.new)))
             self.assertEqual((found, self.files()), (code, before), err)
-            self.assertIn(says, err)
+            self.assertIn(expected, err)
         self.put(unknown)
-        self.assertEqual(self.run_it("--output", self.old, "--replace", "--drop-unknown", *DECIDED)[0], 0)
+        self.assertEqual(self.migrate("--output", self.old, "--replace", "--drop-unknown", *DECIDED)[0], 0)
         self.assertNotIn("load_report", self.files()["old.json"])
 
-    async def test_a_proxy_starts_with_what_came_out_and_a_live_weight_that_falls_leaves_a_host_in_use(self):
+    async def test_a_proxy_starts_with_a_migrated_file_and_uses_a_host_with_a_low_live_weight(self):
         host, discovery = await SocketHost().start(), await SocketDiscovery().start()
         self.addAsyncCleanup(host.stop)
         self.addAsyncCleanup(discovery.stop)
         self.put(start_up([host], discovery))
-        self.assertEqual(self.run_it("--output", self.new, *DECIDED)[0], 0)
+        self.assertEqual(self.migrate("--output", self.new, *DECIDED)[0], 0)
         process = await start("serve", RELAY_CONFIG=self.new)
         try:
-            await discovery.got.get()  # the watch began unasked
+            await discovery.got.get()  # the first call of the watch
             discovery.tell(2, host.line("s-0", weight=0.2))
             await discovery.got.get()
             lines = []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own: started, spoken to over loopback, ended."""
+"""The program as a separate process: started, called over loopback, ended."""
 
 import asyncio
 import json
@@ -60,37 +60,37 @@
                 return json.loads(line)
         self.fail((await process.stderr.read()).decode())
 
-    async def test_it_serves_and_comes_back_on_its_address_right_after_a_kill(self):
+    async def test_it_serves_and_can_restart_on_its_address_right_after_a_kill(self):
         for _ in range(2):
             process, caller = await self.serve()
             self.assertEqual(await caller.outcome(profile="submit", body=b"b"), 200)
             await self.kill(process)
 
-    async def test_told_to_end_it_finishes_what_it_has_and_leaves_with_zero(self):
+    async def test_at_sigterm_it_finishes_open_requests_and_exits_with_zero(self):
         self.host.ways = [SILENT]
         process, caller = await self.serve()
         caller.ask("submit")
         await self.host.got.get()
         process.terminate()
         await self.line(process, "ending")
-        process.send_signal(signal.SIGTERM)  # a second one changes nothing
+        process.send_signal(signal.SIGTERM)  # a second signal has no effect
         self.host.writers[0].write(OK)
         self.assertEqual((await caller.answer())[0], 200)
         self.assertEqual((await self.line(process, "ended"))["unanswered"], 0)
         self.assertEqual(await process.wait(), 0)
 
-    async def test_signals_up_to_the_last_moment_leave_it_with_zero(self):
+    async def test_signals_up_to_the_end_do_not_change_the_exit_code(self):
         process, _ = await self.serve()
         process.terminate()
         for number in (signal.SIGHUP, signal.SIGTERM) * 300:
             if process.returncode is not None:
                 break
             with suppress(ProcessLookupError):
-                os.kill(process.pid, number)  # send_signal may take the exit code from the loop's watcher
+                os.kill(process.pid, number)  # send_signal may take the child watcher's exit code
             await asyncio.sleep(0.003)
         self.assertEqual(await asyncio.wait_for(process.wait(), 5), 0)
 
-    async def test_a_new_file_is_taken_over_at_sighup_and_a_bad_one_is_not(self):
+    async def test_a_new_file_is_applied_at_sighup_and_a_bad_one_is_not(self):
         moved = await SocketDiscovery().start()
         self.addAsyncCleanup(moved.stop)
         process, caller = await self.serve()
@@ -114,7 +114,7 @@
         self.assertIn("index=1&", await moved.got.get())
         self.assertEqual(await caller.outcome(), 200)
 
-    async def test_a_file_that_is_whole_only_a_moment_after_sighup_is_taken(self):
+    async def test_a_file_that_is_complete_shortly_after_sighup_is_applied(self):
         process, _ = await self.serve()
         with open(self.path) as file:
             whole = file.read()
@@ -127,7 +127,7 @@
                 file.write(whole)
             await asyncio.wait_for(self.line(process, "file taken"), 2)
 
-    async def test_a_sighup_at_any_moment_of_the_start_is_survived_and_its_file_taken(self):
+    async def test_a_sighup_at_any_moment_of_the_start_is_survived_and_its_file_applied(self):
         moved = await SocketDiscovery().start()
         self.addAsyncCleanup(moved.stop)
         whole = start_up([self.host], self.discovery, self.listen)
@@ -146,7 +146,7 @@
                 stderr=asyncio.subprocess.PIPE,
             )
             self.addAsyncCleanup(self.kill, process)
-            await asyncio.sleep(0.05)  # the shell has begun
+            await asyncio.sleep(0.05)  # until the shell has started
             for n in range(8):
                 await asyncio.sleep(hundredths / 100)
                 if n == 4:
@@ -158,52 +158,55 @@
             await asyncio.wait_for(moved.got.get(), 10)
             await self.kill(process)
 
-    async def asks_on(self, process, answers):
-        """Like an application at a planned restart: on while its connection is open, then anew, for 0.4 s."""
+    async def send_requests(self, process, answers):
+        """Like an application at a planned restart: reconnects whenever it is disconnected, for 0.4 s."""
         caller, clock = await Caller().to(self.listen.split(":")), asyncio.get_running_loop().time
         again = True
         while again:
             try:
                 caller.ask("submit")
                 status, _, head = await caller.answer()
-            except (OSError, asyncio.IncompleteReadError):  # closed between two: once more on a new one
+            except (
+                OSError,
+                asyncio.IncompleteReadError,
+            ):  # closed between requests: retry once
                 status, head = None, "Connection: close"
             answers.append(status)
-            if self.told is None and len(answers) > 20:
+            if self.terminated_at is None and len(answers) > 20:
                 process.terminate()
-                self.told = clock()
+                self.terminated_at = clock()
             if "Connection: close" in head:
                 await caller.stop()
-                again = self.told is not None and clock() < self.told + 0.4
+                again = self.terminated_at is not None and clock() < self.terminated_at + 0.4
                 if again or status is None:
                     caller = await Caller().to(self.listen.split(":"))
                 again = again or status is None
 
-    async def test_a_planned_restart_loses_nothing_of_what_goes_on_coming(self):
+    async def test_a_planned_restart_loses_none_of_the_requests_that_keep_coming(self):
         process, _ = await self.serve()
-        answers, self.told = [[] for _ in range(4)], None
-        await asyncio.gather(*(self.asks_on(process, each) for each in answers))
+        answers, self.terminated_at = [[] for _ in range(4)], None
+        await asyncio.gather(*(self.send_requests(process, each) for each in answers))
         for each in answers:
             self.assertEqual({status for status in each if status is not None}, {200})
-            self.assertTrue(all(a or b for a, b in zip(each, each[1:], strict=False)))  # never twice
+            self.assertTrue(all(a or b for a, b in zip(each, each[1:], strict=False)))  # never two in a row
             self.assertEqual(each[-1], 200)
         self.assertEqual((await self.line(process, "ended"))["unanswered"], 0)
         self.assertEqual(await process.wait(), 0)
 
-    async def test_a_request_that_comes_during_the_end_is_answered_before_the_earliest_kill(self):
+    async def test_a_request_received_during_shutdown_is_answered_before_the_earliest_kill(self):
         self.host.ways = [SILENT]
         process, caller = await self.serve()
         clock = asyncio.get_running_loop().time
         caller.writer.write(b"POST /submit HTTP/1.1\r\nHost: s\r\nRequest-Id: 1\r\nRequest-Timeout: 2.0\r\n")
         process.terminate()
-        told = clock()
+        terminated_at = clock()
         await asyncio.sleep(1.5)
         caller.writer.write(b"Content-Length: 0\r\n\r\n")
         self.assertIn((await caller.answer())[0], (502, 503, 504))
-        self.assertLess(clock() - told, 2.0 + 0.7)  # the longest deadline and 0.7 s
+        self.assertLess(clock() - terminated_at, 2.0 + 0.7)  # the longest deadline and 0.7 s
         self.assertEqual(await process.wait(), 0)
 
-    async def test_bodies_held_for_a_silent_host_stay_within_memory(self):
+    async def test_bodies_held_for_a_silent_host_stay_within_the_memory_limit(self):
         self.host.ways = [SILENT]
         process, first = await self.serve()
         callers = [first] + [await Caller().to(self.listen.split(":")) for _ in range(150)]
@@ -216,29 +219,29 @@
             peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
         self.assertLess(peak, 96 * 1024)
 
-    async def test_a_running_proxy_is_asked_whether_it_is_ready(self):
+    async def test_health_tells_whether_a_proxy_is_ready(self):
         process, _ = await self.serve()
         for running in (True, False):
-            asked = await start("health", self.listen)
-            await asked.communicate()
-            self.assertEqual(asked.returncode, 0 if running else 1)
+            check = await start("health", self.listen)
+            await check.communicate()
+            self.assertEqual(check.returncode, 0 if running else 1)
             await self.kill(process)
 
-    async def test_a_start_up_file_is_checked_without_a_start(self):
+    async def test_check_reads_the_start_up_file_without_starting(self):
         with open(self.path, "w") as file:
             json.dump(start_up([self.host], self.discovery, "127.0.0.1:7"), file)
         out, _ = await (await start("check", "--file", self.path)).communicate()
         self.assertIn(b"listens on 127.0.0.1:7", out)
         self.assertIn(b"1 hosts known", out)
 
-    async def test_a_bad_start_is_one_line_and_not_zero(self):
+    async def test_a_failed_start_prints_one_line_and_exits_with_nonzero(self):
         whole = start_up([self.host], self.discovery)
         for text in (
             "{",
             "[]",
             "{}",
             json.dumps({**whole, "listen": "here"}),
-            json.dumps({**whole, "listen": self.host.address}),  # somebody listens there
+            json.dumps({**whole, "listen": self.host.address}),  # in use
             json.dumps({**whole, "settings": {}}),
             json.dumps({**whole, "known": {"servers": 1}}),
         ):
@@ -250,6 +253,6 @@
             self.assertEqual((out, err.count(b"\n")), (b"", 1), err)
             self.assertIn(b"basalthook: ", err)
 
-    async def test_it_says_its_version(self):
+    async def test_version_prints_the_version(self):
         out, _ = await (await start("version")).communicate()
         self.assertRegex(out, rb"^basalthook \d+\.\d+\.\d+\n$")
