--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -84,6 +84,7 @@
         return fallback, None
 
     def decode_state(self, found, fallback: Listing) -> tuple[Listing, dict | None]:
+        """The host list and the policy's state in a record; the fallback if it is old or invalid."""
         try:
             if self.clock.now() - int(found["known"]["at"]) > MAX_STATE_AGE or not found["list"]["lines"]:
                 return fallback, None
@@ -127,6 +128,7 @@
     # ---- while running
 
     def poll(self) -> None:
+        """Checks the other process and its files, and writes own records that are due."""
         self.timer = self.timers.set(int(POLL_INTERVAL_S * TICKS), self.poll)
         if record.file_signature(self.registry.orders_path) != self.orders_signature:
             self.merge_orders()
@@ -145,6 +147,7 @@
             self.write_state()
 
     def on_succeeded(self, successor: str) -> None:
+        """Another process serves now: stops accepting and shares the limits with it."""
         self.say("succeeded", by=successor)
         self.accepting = False
         self.share_limits(successor)
@@ -161,6 +164,7 @@
             self.callbacks.set_accepting(True)
 
     def claim_serving(self) -> None:
+        """Records that this process serves; retried later if it can't be written."""
         error = self.registry.claim_serving()
         if error:
             self.log_error(error)
@@ -174,11 +178,13 @@
                 self.say(f"{record_name} kept")
 
     def write_orders(self) -> str:
+        """Returns an error, or "" on success."""
         error = record.write(self.registry.orders_path, self.roster.orders.plain())
         self.orders_signature = record.file_signature(self.registry.orders_path)
         return error
 
     def share_limits(self, other_process: str) -> None:
+        """Shares the limits with this process; "": with none."""
         self.other_process = other_process
         self.callbacks.update_limits()
         self.owner.post(Shared(2 if other_process else 1))
@@ -219,6 +225,7 @@
         return error
 
     def write_state(self) -> None:
+        """Queues a record of the host list and the policy's state."""
         ids = {number: place.id for number, place in self.roster.places.items()}
         lines = [list(place.line) for place in self.roster.places.values() if not place.line.removed]
         self.writer.put(
@@ -233,6 +240,7 @@
             self.log_error(self.writer.error)
 
     def log_error(self, reason: str) -> None:
+        """Logs the reason, unless it is the same as the last one."""
         if reason != self.last_error:  # else the poll would log it ten times a second
             self.last_error = reason
             self.say("handover", reason=reason)
@@ -246,6 +254,7 @@
         self.ending, self.accepting = True, False
 
     def close(self) -> None:
+        """Waits for the last record and unregisters this process."""
         self.timers.cancel(self.timer)
         if not self.writer.wait(FINAL_WRITE_TIMEOUT_S):
             self.log_error(f"{self.registry.state_path}: not written within {FINAL_WRITE_TIMEOUT_S:g} s")
--- a/basalthook/handover/neighbours.py
+++ b/basalthook/handover/neighbours.py
@@ -38,6 +38,7 @@
         return ""
 
     def unregister(self) -> None:
+        """Removes this process's file and releases its lock."""
         if self.lock_fd >= 0:
             with suppress(OSError):
                 os.unlink(self.lock_path(self.own_id))
--- a/basalthook/handover/record.py
+++ b/basalthook/handover/record.py
@@ -30,6 +30,7 @@
 
 
 def encode(value) -> bytes:
+    """The record of a value, as bytes."""
     payload = orjson.dumps(value)
     return MAGIC + HEADER.pack(len(payload), compute_checksum(payload)) + payload
 
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -228,6 +228,7 @@
 
 
 def read_start_up(path: str, fleet: str | None = None) -> startup.StartUp:
+    """Reads the start-up file and the fleet file, if any; exits with code 2 if they can't be used."""
     try:
         return startup.read(path, os.environ, fleet)
     except startup.StartUpError as error:
@@ -235,5 +236,6 @@
 
 
 def exit_with_error(error: startup.StartUpError) -> NoReturn:
+    """Prints the error as one line and exits with code 2."""
     click.echo(f"basalthook: {error}", err=True)
     sys.exit(2)
--- a/basalthook/program/fleetline.py
+++ b/basalthook/program/fleetline.py
@@ -39,11 +39,13 @@
 
 
 def fail(reason: str) -> NoReturn:
+    """Prints the reason as one line and exits with code 1."""
     click.echo(f"basalthook: {reason}", err=True)
     sys.exit(1)
 
 
 def print_rows(rows: list[dict], plain: bool, title: str, columns: tuple[str, ...], cells) -> None:
+    """Prints rows as a table, or as lines of JSON if `plain`. `cells(row)`: the row's table cells."""
     if plain:
         for row in rows:
             click.echo(json.dumps(row))
@@ -158,6 +160,7 @@
 
 
 def explain(path: str | None, proxies: int, hard_limit: float, plain: bool) -> None:
+    """Prints what each limit in the fleet file guarantees."""
     from ..config import fleet  # imported only here
     from ..fleet import bounds
 
--- a/basalthook/program/log.py
+++ b/basalthook/program/log.py
@@ -30,6 +30,7 @@
         self.writer.start()
 
     def say(self, event: str, **fields) -> None:
+        """Queues an event; drops and counts it if the queue is full. `fields`: fields of its line."""
         if len(self.queue) >= MAX_QUEUED_EVENTS:
             self.dropped += 1
             return
--- a/basalthook/program/migrate.py
+++ b/basalthook/program/migrate.py
@@ -133,6 +133,7 @@
 
 
 def to_json(document: dict) -> bytes:
+    """The start-up file as indented JSON."""
     return orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n"
 
 
--- a/basalthook/program/reload.py
+++ b/basalthook/program/reload.py
@@ -38,6 +38,7 @@
         self.read_file()
 
     def read_file(self) -> None:
+        """Reads the file once and applies it, or schedules another read."""
         self.reads += 1
         try:
             start_up: StartUp = self.read()
@@ -46,6 +47,7 @@
         self.apply(start_up)
 
     def refuse(self, reason: str) -> None:
+        """Logs the first and the last refusal; schedules another read unless it is the last."""
         retry = self.reads < MAX_READS  # the writer may not have finished
         if self.reads == 1 or not retry:
             self.log("file refused", reason=reason, looks=self.reads, looks_again=retry)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -171,6 +171,7 @@
             self.listener.resume() if on else self.listener.pause()
 
     def update_descriptor_limit(self) -> None:
+        """Called when the number of processes that share the limit has changed."""
         self.descriptors.bound(self.descriptor_limit(self.start_up))
 
     async def run(self) -> None:
@@ -237,6 +238,7 @@
         return listener
 
     def announce_ready(self) -> None:
+        """Starts to serve, once; has no effect during shutdown."""
         if self.clients.ready or self.stop_requested.is_set():
             return
         self.clients.ready = True
@@ -250,6 +252,7 @@
         )
 
     def open_listener(self, address: tuple[str, int], take, inherited=None) -> Listener:
+        """A listener on `address`; StartUpError if it can't be bound."""
         try:
             return Listener(address, take, inherited, self.clients.sparingly)
         except OSError as error:
@@ -307,6 +310,7 @@
             self.clients.close_idle(rested=MIN_IDLE_S)
 
     def close(self) -> None:
+        """Logs the end and releases all resources."""
         self.log.say("ended", unanswered=sum(not order.closed for order in self.owner.orders.values()))
         if self.console is not None:
             self.console.close()
--- a/basalthook/program/staffline.py
+++ b/basalthook/program/staffline.py
@@ -41,10 +41,13 @@
 
 
 def send_command(address: str, seconds: float, action: str, host: str = "") -> NoReturn:
+    """Sends an operator's action, on `host` if it is about one; does not return."""
     send_request(address, seconds, *calls.call(action, host))
 
 
 def simple_command(name: str, action: str, help_text: str) -> click.Command:
+    """A command without arguments."""
+
     @click.command(name, help=help_text)
     @CONSOLE_OPTION
     @SECONDS_OPTION
@@ -55,6 +58,8 @@
 
 
 def host_command(name: str, action: str, help_text: str) -> click.Command:
+    """A command whose argument is a host's id."""
+
     @click.command(name, help=help_text)
     @click.argument("host")
     @CONSOLE_OPTION
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -50,6 +50,7 @@
 
 
 def read_fleet(path: str):
+    """The decoded fleet file; StartUpError if it is invalid or its dependencies are missing."""
     try:  # imported only here: `serve` without a fleet file does not need it
         from ..config import fleet
     except ModuleNotFoundError as error:
--- a/basalthook/program/together.py
+++ b/basalthook/program/together.py
@@ -105,6 +105,7 @@
         self.log(event, **fields, **({"id": place.id} if place else {}))
 
     def begin(self) -> None:
+        """Opens the socket and joins the fleet."""
         try:
             self.driver = Driver(self.config.listen, self.on_datagram)
         except OSError as error:
@@ -120,6 +121,7 @@
         self.tick()
 
     def tick(self) -> None:
+        """Runs the periodic work: membership, limits and verdicts."""
         self.timer = self.timers.set(int(TICK_S * TICKS), self.tick)
         now = self.clock.now()
         self.talk.tick(now)
@@ -132,6 +134,7 @@
             self.owner.post(judgement)
 
     def on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
+        """Handles a datagram from another member."""
         try:
             self.talk.received(self.clock.now(), data, source)
         except Exception as error:  # a bad datagram must not stop the service
@@ -154,6 +157,7 @@
     # ---- for operators
 
     def members(self) -> list[dict]:
+        """A row for each member, this one included, by name."""
         member = self.talk.member
         rows = [
             {
@@ -172,6 +176,7 @@
         return sorted(rows, key=lambda row: row["name"])
 
     def verdicts(self) -> list[dict]:
+        """A row for each host with a verdict."""
         places = self.owner.roster.places
         if self.verdict_engine is None:
             return []
@@ -181,4 +186,5 @@
         ]
 
     def shares(self) -> list[dict]:
+        """A row for each limit with this proxy's share of it."""
         return self.limits.view(self.clock.now()) if self.limits is not None else []
--- a/basalthook/recovery/following.py
+++ b/basalthook/recovery/following.py
@@ -117,14 +117,17 @@
 
     @property
     def urgent(self) -> bool:
+        """Whether a change may be in effect that has not been received."""
         return self.urgent_retries_left > 0
 
     def on_answer(self) -> None:
+        """Resets the failures and lengthens the next watch."""
         self.failures = self.urgent_retries_left = 0
         if self.recent_answers is not None:
             self.recent_answers += 1
 
     def on_silence(self) -> None:
+        """Shortens the next watch and makes retries urgent."""
         self.recent_answers = 0
         if not self.urgent:
             self.urgent_retries_left = URGENT_RETRIES
@@ -188,6 +191,7 @@
         self.poll_due = False  # whether the poll timer is set; a pushed list is not polled
 
     def begin(self) -> list:
+        """The first effects; none for a pushed list."""
         return [] if self.schedule.pushed else self.schedule_poll(self.schedule.initial_delay())
 
     def schedule_poll(self, wait: int) -> list:
@@ -195,6 +199,7 @@
         return [i.SetTimer(wait, POLL_TIMER_MARK)]
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
+        """Handles an event; returns effects of the schedule or of the policy."""
         kind = type(event)
         if kind is i.ListFailed:  # also sent when the watch broke
             return (
--- a/basalthook/recovery/knowledge.py
+++ b/basalthook/recovery/knowledge.py
@@ -39,6 +39,7 @@
 
 
 def export_host(host, profiles: list[str]) -> dict:
+    """The state of one host; back-offs of single profiles are stored by the profile's name."""
     return {
         **{name: getattr(host, name) for name in HOST_FIELDS},
         **{name: list(getattr(host, name).times) for name in WINDOW_FIELDS},
@@ -78,6 +79,7 @@
 
 
 def restore_host(host, stored: dict, profiles: list[str], now: int, remaining: float) -> None:
+    """Restores one host; `remaining`: the part of its load estimate that is still valid."""
     for name in HOST_FIELDS:
         setattr(host, name, type(getattr(host, name))(stored[name]))
     for name in WINDOW_FIELDS:
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -42,9 +42,8 @@
 
     @given(st.integers(1, 2_000), st.integers(0, 2**32))
     def test_a_fleet_whose_calls_were_all_answered_at_once_spreads_its_next_calls(self, proxies, seed):
-        self.assertEqual(
-            make_schedule(ask_within=900_000).watch_wait(), 600_000
-        )  # discovery holds a watch no longer
+        # Discovery holds a watch no longer than this.
+        self.assertEqual(make_schedule(ask_within=900_000).watch_wait(), 600_000)
         waits = sorted(make_schedule(seed, proxies=proxies, position=n).watch_wait() for n in range(proxies))
         self.assertGreaterEqual(waits[0], 100_000)
         self.assertLess(waits[-1], 200_000)
@@ -208,10 +207,8 @@
         self.assertEqual((asked[2], "index=2&" in asked[3]), ("/catalog/members", True))
 
     async def test_a_discovery_that_always_answers_at_once_is_called_at_a_bounded_rate(self):
-        for version, most in (
-            (lambda n: 2, 8),
-            (lambda n: n, 110),
-        ):  # always the same list; a new one each time
+        # Always the same version of the list; a newer one each time.
+        for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):
             await self.play(SocketHost())
             for n in range(2, 1_000):
                 self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
