--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -166,7 +166,7 @@
             try:
                 caller.ask("submit")
                 status, _, head = await caller.answer()
-            except (OSError, asyncio.IncompleteReadError):  # closed between two requests
+            except (OSError, asyncio.IncompleteReadError):  # closed between two requests; retried
                 status, head = None, "Connection: close"
             answers.append(status)
             if self.terminated_at is None and len(answers) > 20:
