--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -9,13 +9,13 @@
 from typing import NamedTuple
 
 from ..protocol.catalogue import Line, Listing
-from ..recovery import knowledge
+from ..recovery import policy_state
 from ..routing.clock import TICKS, Clock
 from ..routing.orders import Orders
 from ..routing.owner import Ordered, Owner, Shared
 from ..transport.timers import Timers
 from . import record
-from .neighbours import ProcessRegistry
+from .process_registry import ProcessRegistry
 from .record import BadRecord
 
 POLL_INTERVAL_S = 0.1  # between two checks of the other process's files; a check takes microseconds
@@ -102,7 +102,7 @@
         if state is None:
             return
         try:
-            restored = knowledge.restore_state(
+            restored = policy_state.restore_state(
                 self.owner.proxy, state, self.roster.numbers, self.profiles, self.clock.now(), self.half_life
             )
         except INVALID_RECORD_ERRORS as error:
@@ -232,7 +232,7 @@
             self.registry.state_path,
             {
                 "list": {"version": self.watch.version, "lines": lines},
-                "known": knowledge.export_state(self.owner.proxy, ids, self.profiles)
+                "known": policy_state.export_state(self.owner.proxy, ids, self.profiles)
                 | {"at": self.clock.now()},
             },
         )
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -17,7 +17,7 @@
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol.catalogue import Line
-from ..recovery.following import DiscoverySchedule, PollingPolicy
+from ..recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 from . import overrun
 from .faults import ON_PROCESSES, ClockFault, LongWay, Maintain
 from .links import Links
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -10,7 +10,7 @@
 from ..protocol.application import HEALTH
 from ..transport.turns import Turns
 from ..transport.turns import run as run_loop
-from . import fleetline, staffline, startup
+from . import fleet_commands, operator_commands, startup
 from . import migrate as migration
 from .log import Log
 from .reload import EarlyHangup
@@ -86,7 +86,7 @@
 @click.option("--seconds", default=2.0, show_default=True, help="How long to wait for the answer.")
 def health(address: str, seconds: float) -> None:
     """Ask a running client proxy at ADDRESS (host:port) whether it is ready; exit with 1 if it is not."""
-    staffline.send_request(address, seconds, "GET", HEALTH)
+    operator_commands.send_request(address, seconds, "GET", HEALTH)
 
 
 @main.command()
@@ -223,7 +223,7 @@
     click.echo(f"basalthook {VERSION}")
 
 
-for operator_command in (*staffline.COMMANDS, *fleetline.COMMANDS):
+for operator_command in (*operator_commands.COMMANDS, *fleet_commands.COMMANDS):
     main.add_command(operator_command)
 
 
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -9,9 +9,9 @@
 from ..console.callers import PLACES, Callers
 from ..handover.handover import Handover, HandoverCallbacks
 from ..handover.inherited import InheritedSocketError, open_inherited
-from ..handover.neighbours import ProcessRegistry
-from ..recovery.door import AdmissionControl
-from ..recovery.following import SILENCE_TIMEOUT, DiscoverySchedule
+from ..handover.process_registry import ProcessRegistry
+from ..recovery.admission import AdmissionControl
+from ..recovery.discovery_schedule import SILENCE_TIMEOUT, DiscoverySchedule
 from ..routing.attempts import Attempts
 from ..routing.clients import IDLE, NEW, Clients
 from ..routing.clock import TICKS, Clock
@@ -26,8 +26,8 @@
 from ..transport.listener import Listener
 from ..transport.timers import Timers
 from ..transport.turns import Turns
-from .figures import MetricsLog
 from .log import Log
+from .metrics_log import MetricsLog
 from .reload import EarlyHangup, Reloader
 from .startup import StartUp, StartUpError
 
@@ -122,7 +122,7 @@
         self.listener: Listener | None = None
         self.fleet_member = None
         if start_up.fleet is not None:  # imported only here
-            from .together import FleetMember
+            from .fleet_member import FleetMember
 
             self.fleet_member = self.staff.fleet = FleetMember(
                 start_up.fleet,
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -7,7 +7,7 @@
 from ..protocol import application, http1
 from ..protocol.application import Asked
 from ..protocol.http1 import Malformed, Message, Parser
-from ..recovery.door import AdmissionControl
+from ..recovery.admission import AdmissionControl
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, Fault
 from ..transport.descriptors import Descriptors
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -5,7 +5,7 @@
 
 from ..protocol import catalogue
 from ..protocol.http1 import Message, Parser
-from ..recovery.following import CALL_TIMEOUT, MAX_PARALLEL_CALLS, DiscoverySchedule
+from ..recovery.discovery_schedule import CALL_TIMEOUT, MAX_PARALLEL_CALLS, DiscoverySchedule
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, Fault, Stage
 from ..transport.descriptors import Descriptors
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -5,7 +5,7 @@
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol import news
-from ..recovery.following import DiscoverySchedule, PollingPolicy
+from ..recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 from ..terms import TENTH
 
 OUTCOMES = {
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -7,7 +7,7 @@
 from basalthook.fleet.counting import Counting
 from basalthook.policy import interface as i
 from basalthook.policy.decide import Proxy
-from basalthook.recovery.following import DiscoverySchedule, PollingPolicy
+from basalthook.recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 
 IDEMPOTENT, SCAN_CELL, NON_IDEMPOTENT, PUSH_ZONE, UPLOAD = range(5)
 PROFILES = (
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -9,7 +9,7 @@
 
 from basalthook.policy import interface as i
 from basalthook.protocol import catalogue
-from basalthook.recovery.following import SILENCE_TIMEOUT, URGENT_RETRIES, DiscoverySchedule
+from basalthook.recovery.discovery_schedule import SILENCE_TIMEOUT, URGENT_RETRIES, DiscoverySchedule
 from tests.fake import SETTINGS, TERMS, SocketDiscovery, SocketHost
 from tests.loopback import Loopback
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,10 +14,10 @@
 
 from basalthook.handover import record
 from basalthook.handover.inherited import InheritedSocketError, open_inherited
-from basalthook.handover.neighbours import ProcessRegistry
+from basalthook.handover.process_registry import ProcessRegistry
 from basalthook.handover.record import BadRecord
 from basalthook.policy import interface as i
-from basalthook.recovery import knowledge
+from basalthook.recovery import policy_state
 from tests import test_program
 from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
 
@@ -110,10 +110,10 @@
     def upgraded(self, stage, hosts, wait=0):
         """A new proxy with the same hosts and the old one's state, passed on as JSON."""
         ids = {h.line.host: f"s-{h.line.host}" for h in hosts}
-        state = json.loads(json.dumps(knowledge.export_state(stage.proxy, ids, NAMES)))
+        state = json.loads(json.dumps(policy_state.export_state(stage.proxy, ids, NAMES)))
         successor = Stage(hosts, seed=2)
         successor.now = stage.now + wait
-        restored = knowledge.restore_state(
+        restored = policy_state.restore_state(
             successor.proxy, state, {name: n for n, name in ids.items()}, NAMES, successor.now, 30_000
         )
         return successor, restored
@@ -156,7 +156,7 @@
         hosts = [FakeHost(0)]
         for state in ({}, {"at": 1}, {"at": "x", "born": 0}, [], None):
             with self.assertRaises((ValueError, TypeError, KeyError, AttributeError)):
-                knowledge.restore_state(Stage(hosts).proxy, state, {}, NAMES, 1_000_000, 30_000)
+                policy_state.restore_state(Stage(hosts).proxy, state, {}, NAMES, 1_000_000, 30_000)
 
     def test_while_two_processes_run_each_uses_half_of_a_cold_hosts_limit(self):
         sent = []
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -13,7 +13,7 @@
 from basalthook.policy import interface as i
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
-from basalthook.recovery.door import REJECTION_FULL, REJECTION_START, AdmissionControl
+from basalthook.recovery.admission import REJECTION_FULL, REJECTION_START, AdmissionControl
 from basalthook.transport import arrival
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -231,7 +231,7 @@
         code = (
             "import sys; from basalthook.program import commands, service; "
             "print([n for n in sys.modules if n.split('.')[-1] in ('talk', 'member', 'msgspec', "
-            "'msgpack', 'xxhash', 'together', 'driver')])"
+            "'msgpack', 'xxhash', 'fleet_member', 'driver')])"
         )
         self.assertEqual(subprocess.check_output([sys.executable, "-c", code], text=True).strip(), "[]")
         start = Path(__file__).parent.parent / "deploy/start-up.example.json"
