--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -17,7 +17,7 @@
 from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol.catalogue import HostRecord
-from ..recovery.following import Asking, Following
+from ..recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 from . import overrun
 from .faults import ON_PROCESSES, ClockFault, LongWay, Maintain
 from .links import Links
@@ -82,7 +82,7 @@
         mind = Counting(proxy)
         if self.talking is not None:
             mind = self.talking.start(n, proxy, agreed.zone, first)
-        self.minds[n] = Asking(Following(agreed, proxy.rng), mind)
+        self.minds[n] = PollingPolicy(DiscoverySchedule(agreed, proxy.rng), mind)
         self.carry_out(n, self.minds[n].begin())
         listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
         self.tell(n, interface.HostListReceived(tuple(map(self.line, listed)), True, False))
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -7,7 +7,7 @@
 from ..protocol import application, http1
 from ..protocol.application import TransactionRequest
 from ..protocol.http1 import Message, Parser, Rejection
-from ..recovery.door import Door
+from ..recovery.admission import AdmissionControl
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, ConnectionFailure
 from ..transport.descriptors import DescriptorBudget
@@ -228,13 +228,13 @@
         """
         clients, retry_after = (
             self.clients,
-            min(self.clients.max_retry_after, self.clients.admission.come_back()),
+            min(self.clients.max_retry_after, self.clients.admission.retry_after()),
         )
         clients.rate_limited_log(
             "door",
-            share=round(clients.admission.share(), 3),
-            mean_ms=clients.admission.mean / 10,
-            turned_away=clients.admission.turned_away,
+            share=round(clients.admission.rejected_share(), 3),
+            mean_ms=clients.admission.mean_wait / 10,
+            turned_away=clients.admission.rejected,
         )
         self.keep_alive = self.keep_alive and clients.allows_keep_alive()
         self.write((application.rollback_response(retry_after / TICKS_PER_SECOND, self.keep_alive),))
@@ -417,7 +417,7 @@
         dispatcher: Dispatcher,
         clock: Clock,
         timers: Timers,
-        admission: Door,
+        admission: AdmissionControl,
         profiles: dict[str, int],
         buffers: BufferPool,
         descriptors: DescriptorBudget,
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -5,7 +5,7 @@
 
 from ..protocol import catalogue
 from ..protocol.http1 import Message, Parser
-from ..recovery.following import BESIDE_MOST, GIVE_UP, Following
+from ..recovery.discovery_schedule import CALL_TIMEOUT, MAX_PARALLEL_CALLS, DiscoverySchedule
 from ..transport.buffers import BufferPool
 from ..transport.connection import Connection, ConnectionFailure, Stage
 from ..transport.descriptors import DescriptorBudget
@@ -25,7 +25,7 @@
         self,
         address: tuple[str, int],
         version: int,
-        schedule: Following,
+        schedule: DiscoverySchedule,
         dispatcher: Dispatcher,
         buffers: BufferPool,
         descriptors: DescriptorBudget,
@@ -56,8 +56,8 @@
     def start(self, at_once: bool = False) -> None:
         """`at_once`: make the first call without delay, for the changes that discovery has already."""
         if not self.calls and self.retry_timer is None:
-            self.schedule.began()
-            delay = 0 if at_once else self.schedule.first_delay()
+            self.schedule.on_start()
+            delay = 0 if at_once else self.schedule.initial_delay()
             self.retry_timer = self.timers.set(delay, self.start_call, at_once or self.schedule.pushed)
 
     def stop(self) -> None:
@@ -85,7 +85,7 @@
             )
             self.address, self.needs_full_list = address, True
         self.stop()
-        self.schedule.moved()
+        self.schedule.on_move()
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
@@ -100,9 +100,9 @@
         A change that discovery has published counts from a fixed time on, even if the answer with it was
         lost.
         """
-        if self.calls and self.calls[-1] is call and len(self.calls) < BESIDE_MOST:
+        if self.calls and self.calls[-1] is call and len(self.calls) < MAX_PARALLEL_CALLS:
             self.log_event("list late", calls=len(self.calls))
-            self.schedule.fell_silent()
+            self.schedule.on_silence()
             self.start_call(True)
 
     async def run(self, at_once: bool) -> None:
@@ -114,7 +114,9 @@
         self.failure_reasons.append(reason)
         rejected = all(r.startswith("status") for r in self.failure_reasons)
         if self.calls:  # one of the other calls may still be answered
-            delay = self.schedule.beside_delay(len(self.calls), len(self.failure_reasons), rejected)
+            delay = self.schedule.hedge_delay_after_failure(
+                len(self.calls), len(self.failure_reasons), rejected
+            )
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log_event("list call failed", reason=reason, others=len(self.calls))
         wait = self.schedule.retry_delay(rejected)
@@ -152,7 +154,7 @@
         Returns the reason, or "" if discovery has closed the connection after an answer.
         """
         connected = asyncio.get_running_loop().create_future()
-        silent_after = self.schedule.silent_after(len(self.calls), at_once)
+        silent_after = self.schedule.hedge_delay(len(self.calls), at_once)
         connection.connect(self.address, connected.set_result)
         with self.time_limits(connection, 0, silent_after, task):
             fault = await connected
@@ -175,7 +177,7 @@
             if full_list and not listing.complete:
                 return "changes instead of the complete list"
             await self.take_answer(listing, task, at_once)
-            at_once, silent_after = False, self.schedule.silent_after(1)
+            at_once, silent_after = False, self.schedule.hedge_delay(1)
             if not found.keep_alive:
                 return ""
 
@@ -187,7 +189,7 @@
         if others:
             self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.failure_reasons, self.answered_at = [task], [], self.timers.now()
-        self.schedule.answered()
+        self.schedule.on_answer()
         if listing.version < self.version and not self.needs_full_list:
             # Discovery has restarted its version numbers. It may never reach ours, and its changes would be
             # applied to a different list.
@@ -257,10 +259,10 @@
 
         A parallel call opens `silent_after` ticks past `wait`, and the connection fails `GIVE_UP` past it.
         """
-        reason = f"no answer within {(wait + GIVE_UP) / self.timers.ticks_per_second:g} s"
+        reason = f"no answer within {(wait + CALL_TIMEOUT) / self.timers.ticks_per_second:g} s"
         limits = (
             self.timers.set(wait + silent_after, self.add_call, task),
-            self.timers.set(wait + GIVE_UP, connection.fail, reason),
+            self.timers.set(wait + CALL_TIMEOUT, connection.fail, reason),
         )
         try:
             yield
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -5,7 +5,7 @@
 from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol import peer_messages
-from ..recovery.following import Asking, Following
+from ..recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 from ..terms import TICK_NS
 
 OUTCOMES = {
@@ -25,7 +25,9 @@
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.policy_settings(setup), seed, now)
-        self.decider = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
+        self.decider = PollingPolicy(
+            DiscoverySchedule(self.proxy.settings, self.proxy.rng), Counting(self.proxy)
+        )
         self.profiles = terms.profile_indices(setup)
         # address -> index; grows with every host ever listed, until a restart
         self.hosts: dict[str, int] = {}
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -116,7 +116,7 @@
 
 
 async def main(layer: str, told: startup.StartUp, turns: TimedSelector) -> None:
-    addresses = [line.address for line in told.known.records]
+    addresses = [line.address for line in told.known_hosts.records]
     if layer == "streams":
         server = Streams(addresses)
         listening = bind_sockets(0, "127.0.0.1")
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -7,7 +7,7 @@
 from basalthook.fleet.counting import Counting
 from basalthook.policy import interface
 from basalthook.policy.decide import Proxy
-from basalthook.recovery.following import Asking, Following
+from basalthook.recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 
 IDEMPOTENT, SCAN_CELL, NON_IDEMPOTENT, PUSH_ZONE, UPLOAD = range(5)
 PROFILES = (
@@ -54,7 +54,9 @@
         self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
         self.hosts = {h.line.host_id: h for h in hosts}
         self.proxy = Proxy(interface.PolicySettings(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
+        self.mind = PollingPolicy(
+            DiscoverySchedule(self.proxy.settings, self.proxy.rng), Counting(self.proxy)
+        )
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
         self.tell(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -13,7 +13,7 @@
     def test_the_start_up_file_is_accepted_by_serve(self):
         settings = decode(path.start_up(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {})
         self.assertEqual(
-            (len(settings.known.records), settings.profiles, settings.agreed.warm_keys),
+            (len(settings.known_hosts.records), settings.profiles, settings.agreed.warm_keys),
             (2, {"read": 0, "write": 1}, True),
         )
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -452,7 +452,7 @@
 
     async def test_hosts_that_are_gone_are_forgotten_when_no_attempt_is_open(self):
         registry, host = HostRegistry(), await self.start_server(SocketHost())
-        first = decode(start_up([host], host), {}).known
+        first = decode(start_up([host], host), {}).known_hosts
         number = registry.apply_listing(first, False).hosts[0].host_id
         registry.attempt_started(number)
         registry.apply_listing(first._replace(records=()), True)
@@ -465,7 +465,7 @@
         self,
     ):
         registry, host = HostRegistry(only_draining_binds=True), await self.start_server(SocketHost())
-        first = decode(start_up([host], host), {}).known
+        first = decode(start_up([host], host), {}).known_hosts
         number = registry.apply_listing(first, False).hosts[0].host_id
         gone = first.records[0]._replace(ready=False)
         for lines, stays in (
