--- a/basalthook/fleet/counting.py
+++ b/basalthook/fleet/aggregation.py
@@ -13,7 +13,7 @@
 KEPT = 2_000
 
 
-class Counting:
+class FaultAggregator:
     """`terms.peers` false: nothing is told and nothing believed."""
 
     def __init__(self, proxy) -> None:
--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -25,7 +25,7 @@
 }  # of others nothing follows
 
 
-class Word(NamedTuple):
+class HostReport(NamedTuple):
     """One proxy's word on one host; moments are ticks on the reader's clock."""
 
     who: str
@@ -37,7 +37,7 @@
     answers: int
     heard: int  # when the host was last heard at all
     told: int  # when this was told
-    mark: int = 0  # of the fact it came as
+    fact_id: int = 0  # of the fact it came as
 
     @property
     def faults(self) -> int:
@@ -48,13 +48,13 @@
         return self.faults > 0 or self.late > 0 and self.late_sent > self.heard
 
 
-def plain(zone: str, word: Word) -> tuple:
+def report_value(zone: str, word: HostReport) -> tuple:
     """As a fact's value; moments as ages."""
     ago = min(LONG_AGO, max(0, word.told - word.late_sent)), min(LONG_AGO, max(0, word.told - word.heard))
     return (zone, word.late, ago[0], word.lost, word.errors, word.answers, ago[1])
 
 
-def read(fact, told: int) -> Word | None:
+def parse_report(fact, told: int) -> HostReport | None:
     """A fact back, told at that moment; None where its value is none."""
     value = fact.value
     if (
@@ -64,12 +64,12 @@
     ):
         return None
     zone, late, late_ago, lost, errors, answers, heard_ago = value
-    return Word(
-        fact.author, zone, late, told - late_ago, lost, errors, answers, told - heard_ago, told, fact.mark
+    return HostReport(
+        fact.author, zone, late, told - late_ago, lost, errors, answers, told - heard_ago, told, fact.fact_id
     )
 
 
-class Seen:
+class HostObservations:
     """`ended` for every hop's end; hosts by the decisions' numbers."""
 
     def __init__(self, who: str, zone: str) -> None:
@@ -103,7 +103,7 @@
         }
         return late | self.faulty
 
-    def word(self, now: int, seen: int, proxy, host: int) -> Word:
+    def word(self, now: int, seen: int, proxy, host: int) -> HostReport:
         """`seen`: up to then all that came in is told; a silence since may be that of this process."""
         server, outcomes = proxy.servers[host], self.outcomes.get(host)
         while outcomes and outcomes[0][0] <= now - WINDOW:
@@ -120,7 +120,7 @@
             for _, sent_at, late_after in server.out.values()
             if seen - sent_at >= late_after and sent_at >= self.since.get(host, 0)
         ]
-        return Word(
+        return HostReport(
             self.who,
             self.zone,
             len(late),
--- a/basalthook/fleet/facts.py
+++ b/basalthook/fleet/facts.py
@@ -13,7 +13,10 @@
 
 import xxhash
 
-OF_AN_AUTHOR, AUTHORS = 2048, 8192  # facts, the newest sequences stay; authors, the longest unheard go
+MAX_FACTS_PER_AUTHOR, MAX_AUTHORS = (
+    2048,
+    8192,
+)  # facts, the newest sequences stay; authors, the longest unheard go
 CONTACTS = 2  # rounds of telling a fact anew, and one more for each doubling of the members
 SUBJECT_MOST = 120  # bytes
 
@@ -28,22 +31,22 @@
     age: int  # ticks since its author told it, at the moment this is read
 
     @property
-    def mark(self) -> int:
+    def fact_id(self) -> int:
         """Four bytes that stand for this word of its author, at every member."""
         return xxhash.xxh32_intdigest(f"{self.author}\0{self.life}\0{self.sequence}".encode())
 
 
-class Held:
-    """`rounds`: in which it is still told anew; `made`: what a reader has made of it, and of which birth."""
+class Entry:
+    """`rounds`: in which it is still told anew; `parsed`: what a reader made of it, of which birth."""
 
-    __slots__ = ("fact", "mark", "born", "rounds", "made")
+    __slots__ = ("fact", "fact_id", "born", "rounds", "parsed")
 
     def __init__(self, fact: Fact, born: int, rounds: int) -> None:
-        self.fact, self.born, self.rounds, self.made = fact, born, rounds, (None, None)
-        self.mark = fact.mark
+        self.fact, self.born, self.rounds, self.parsed = fact, born, rounds, (None, None)
+        self.fact_id = fact.fact_id
 
 
-def read(plain) -> Fact | None:
+def parse_fact(plain) -> Fact | None:
     """A fact as msgpack has it; None where it is none."""
     if not isinstance(plain, list | tuple) or len(plain) != 7:
         return None
@@ -57,41 +60,41 @@
     return Fact(author, life, kind, subject, sequence, tuple(value), age)
 
 
-class Table:
-    """`lives`: ticks by kind; a kind not named is not held. `now` is handed to every call, in ticks."""
+class FactTable:
+    """`lifetimes`: ticks by kind; a kind not named is not held. `now` is handed to every call, in ticks."""
 
-    def __init__(self, me: str, life: int, lives: dict[str, int]) -> None:
-        self.me, self.life, self.lives, self.sequence = me, life, lives, 0
-        self.held: dict[tuple, Held] = {}  # (author, kind, subject); emptied by age and by the bounds
+    def __init__(self, me: str, life: int, lifetimes: dict[str, int]) -> None:
+        self.me, self.life, self.lifetimes, self.sequence = me, life, lifetimes, 0
+        self.entries: dict[tuple, Entry] = {}  # (author, kind, subject); emptied by age and by the bounds
         self.of: dict[str, dict] = {}  # author -> its part of the same
         self.newest: dict[str, int] = {}  # author -> life
-        self.by_subject: dict[tuple, dict] = {}  # (kind, subject) -> author -> Held
-        self.marks: dict[int, Held] = {}
-        self.hot: dict[int, Held] = {}  # still to be told; emptied as their rounds run out
+        self.by_subject: dict[tuple, dict] = {}  # (kind, subject) -> author -> Entry
+        self.by_id: dict[int, Entry] = {}
+        self.hot: dict[int, Entry] = {}  # still to be told; emptied as their rounds run out
         self.changed = 0  # grows with every word taken: whoever derives may wait for it
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.entries)
 
-    def tell(self, now: int, kind: str, subject: str, value: tuple, members: int) -> Fact:
+    def publish(self, now: int, kind: str, subject: str, value: tuple, members: int) -> Fact:
         """A word of this process."""
         self.sequence += 1
         fact = Fact(self.me, self.life, kind, subject, self.sequence, value, 0)
-        self.put(Held(fact, now, rounds(members)))
+        self.insert(Entry(fact, now, rounds(members)))
         return fact
 
-    def live(self, life: int) -> None:
+    def adopt_life(self, life: int) -> None:
         """This process has found that it must count as a later one; its words are told anew."""
         told = [held for held in self.of.get(self.me, {}).values() if held.fact.life == self.life]
         self.life = life
         for held in told:
             fact = held.fact
             self.sequence += 1
-            self.put(Held(fact._replace(life=life, sequence=self.sequence, age=0), held.born, CONTACTS))
+            self.insert(Entry(fact._replace(life=life, sequence=self.sequence, age=0), held.born, CONTACTS))
 
-    def take(self, now: int, fact: Fact, members: int = 1) -> bool:
+    def merge(self, now: int, fact: Fact, members: int = 1) -> bool:
         """Whether it was news. Of the same word the greater age stands, whoever brought it."""
-        if fact.age > self.lives.get(fact.kind, -1):
+        if fact.age > self.lifetimes.get(fact.kind, -1):
             return False
         if fact.author == self.me:
             return False  # it knows its own; what a process before it has told is void
@@ -106,38 +109,38 @@
             and (old.fact.life, old.fact.sequence) > (fact.life, fact.sequence)
         ):
             return False
-        self.put(Held(fact._replace(age=0), born, rounds(members)))
-        return (fact.author, fact.kind, fact.subject) in self.held
+        self.insert(Entry(fact._replace(age=0), born, rounds(members)))
+        return (fact.author, fact.kind, fact.subject) in self.entries
 
-    def outlive(self, author: str, life: int) -> None:
+    def void_earlier_lives(self, author: str, life: int) -> None:
         """Its process of this life has begun: what one before it told is void, whoever still holds it."""
         if life > self.newest.get(author, -1):
             for old in list(self.of.get(author, {}).values()):
-                self.drop(old)
+                self.remove(old)
             self.newest[author] = life
 
-    def put(self, held: Held) -> None:
+    def insert(self, held: Entry) -> None:
         fact = held.fact
-        self.outlive(fact.author, fact.life)
+        self.void_earlier_lives(fact.author, fact.life)
         mine = self.of.setdefault(fact.author, {})
         if (old := mine.get((fact.kind, fact.subject))) is not None:
-            self.drop(old)
+            self.remove(old)
             mine = self.of.setdefault(fact.author, {})
-        mine[fact.kind, fact.subject] = self.held[fact.author, fact.kind, fact.subject] = held
+        mine[fact.kind, fact.subject] = self.entries[fact.author, fact.kind, fact.subject] = held
         self.by_subject.setdefault((fact.kind, fact.subject), {})[fact.author] = held
-        self.marks[held.mark] = self.hot[held.mark] = held
+        self.by_id[held.fact_id] = self.hot[held.fact_id] = held
         self.changed += 1
-        if len(mine) > OF_AN_AUTHOR:
-            self.drop(min(mine.values(), key=lambda h: h.fact.sequence))
-        if len(self.newest) > AUTHORS:
-            for author in sorted(self.newest.keys() - self.of.keys() or self.newest)[: AUTHORS // 8]:
+        if len(mine) > MAX_FACTS_PER_AUTHOR:
+            self.remove(min(mine.values(), key=lambda h: h.fact.sequence))
+        if len(self.newest) > MAX_AUTHORS:
+            for author in sorted(self.newest.keys() - self.of.keys() or self.newest)[: MAX_AUTHORS // 8]:
                 for old in list(self.of.get(author, {}).values()):
-                    self.drop(old)
+                    self.remove(old)
                 del self.newest[author]
 
-    def drop(self, held: Held) -> None:
+    def remove(self, held: Entry) -> None:
         fact = held.fact
-        del self.held[fact.author, fact.kind, fact.subject]
+        del self.entries[fact.author, fact.kind, fact.subject]
         for where, key, inner in (
             (self.of, fact.author, (fact.kind, fact.subject)),
             (self.by_subject, (fact.kind, fact.subject), fact.author),
@@ -145,65 +148,65 @@
             del where[key][inner]
             if not where[key]:
                 del where[key]
-        for index in (self.marks, self.hot):
-            if index.get(held.mark) is held:
-                del index[held.mark]
+        for index in (self.by_id, self.hot):
+            if index.get(held.fact_id) is held:
+                del index[held.fact_id]
 
     def expire(self, now: int) -> None:
         """What is older than its kind's life is gone; called now and then, as no reader sees it."""
-        for held in [h for h in self.held.values() if now - h.born > self.lives[h.fact.kind]]:
-            self.drop(held)
+        for held in [h for h in self.entries.values() if now - h.born > self.lifetimes[h.fact.kind]]:
+            self.remove(held)
 
-    def about(self, now: int, kind: str, subject: str) -> list[Fact]:
+    def facts_on(self, now: int, kind: str, subject: str) -> list[Fact]:
         """What is alive on this subject, each with its age."""
-        life = self.lives.get(kind, -1)
+        life = self.lifetimes.get(kind, -1)
         held = self.by_subject.get((kind, subject), {}).values()
         return [h.fact._replace(age=max(0, now - h.born)) for h in held if now - h.born <= life]
 
-    def made(self, now: int, kind: str, subject: str, reader) -> list:
+    def parsed(self, now: int, kind: str, subject: str, reader) -> list:
         """What `reader(fact, its birth)` makes of what is alive on this subject; asked once for each word."""
-        life, found = self.lives.get(kind, -1), []
+        life, found = self.lifetimes.get(kind, -1), []
         for held in self.by_subject.get((kind, subject), {}).values():
             if now - held.born <= life:
-                if held.made[0] != held.born:
-                    held.made = held.born, reader(held.fact, held.born)
-                if held.made[1] is not None:
-                    found.append(held.made[1])
+                if held.parsed[0] != held.born:
+                    held.parsed = held.born, reader(held.fact, held.born)
+                if held.parsed[1] is not None:
+                    found.append(held.parsed[1])
         return found
 
     def subjects(self, kind: str) -> list[str]:
         return [subject for of, subject in self.by_subject if of == kind]
 
-    def all(self, now: int) -> list[Fact]:
+    def live_facts(self, now: int) -> list[Fact]:
         return [
             h.fact._replace(age=max(0, now - h.born))
-            for h in self.held.values()
-            if now - h.born <= self.lives[h.fact.kind]
+            for h in self.entries.values()
+            if now - h.born <= self.lifetimes[h.fact.kind]
         ]
 
     # ---- spreading
 
-    def news(self, most: int) -> list[int]:
+    def next_rumours(self, most: int) -> list[int]:
         """Marks of what is to be told in this round; each has one round less after it."""
         told = []
-        for mark, held in list(self.hot.items())[:most]:
-            told.append(mark)
+        for fact_id, held in list(self.hot.items())[:most]:
+            told.append(fact_id)
             held.rounds -= 1
-            del self.hot[mark]
+            del self.hot[fact_id]
             if held.rounds > 0:
-                self.hot[mark] = held  # to the end of the row: those not told yet come first
+                self.hot[fact_id] = held  # to the end of the row: those not told yet come first
         return told
 
-    def lacking(self, marks) -> list[int]:
-        return [mark for mark in marks if mark not in self.marks]
+    def missing(self, marks) -> list[int]:
+        return [fact_id for fact_id in marks if fact_id not in self.by_id]
 
-    def given(self, now: int, marks) -> list[Fact]:
+    def facts_for(self, now: int, marks) -> list[Fact]:
         """The words that these marks stand for, as far as they are alive here."""
-        found = (self.marks.get(mark) for mark in marks)
+        found = (self.by_id.get(fact_id) for fact_id in marks)
         return [
             h.fact._replace(age=max(0, now - h.born))
             for h in found
-            if h is not None and now - h.born <= self.lives[h.fact.kind]
+            if h is not None and now - h.born <= self.lifetimes[h.fact.kind]
         ]
 
     def digests(self, now: int, low: int, most: int) -> tuple[list[tuple[int, int]], int]:
@@ -216,11 +219,11 @@
     def digest(self, now: int, author: str) -> int:
         found = 0
         for held in self.of.get(author, {}).values():
-            if now - held.born <= self.lives[held.fact.kind]:
-                found ^= held.mark
+            if now - held.born <= self.lifetimes[held.fact.kind]:
+                found ^= held.fact_id
         return found
 
-    def differing(self, now: int, low: int, end: int, digests: dict[int, int]) -> list[Fact]:
+    def differing_facts(self, now: int, low: int, end: int, digests: dict[int, int]) -> list[Fact]:
         """What we hold of authors in this range whose digest is another there, or who are not known there."""
         found = []
         for author in self.of:
@@ -229,7 +232,7 @@
                 found += [
                     h.fact._replace(age=max(0, now - h.born))
                     for h in self.of[author].values()
-                    if now - h.born <= self.lives[h.fact.kind]
+                    if now - h.born <= self.lifetimes[h.fact.kind]
                 ]
         return found
 
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -10,26 +10,43 @@
 from random import Random
 
 from ..policy import interface as i
-from . import seat as seats
-from .bounds import BOUNDED, CLOCKS, HOST, RATE, RETRIES, TERM, TICKS, TOKEN_LIFE, Limit
-from .holder import Holder
-from .keeper import Keeper, Row, Unit
-from .seat import Seat, longer
-
-NEED, PART, NOT_ME = 27, 28, 29
-KINDS = {seats.CLAIM: 4, seats.VOTE: 5, seats.GIVE_UP: 4, NEED: 6, PART: 7, NOT_ME: 4}  # and their lengths
-UNITS = 48  # in one ask, as one datagram holds; beyond, those longest unused are given up
+from . import election
+from .allocator import LeaseAllocator, LeaseRequest, Unit
+from .bounds import (
+    BOUNDED,
+    HOST,
+    MAX_CLOCK_DRIFT,
+    RATE,
+    RETRIES,
+    TERM_TICKS,
+    TICKS_PER_SECOND,
+    TOKEN_LIFETIME,
+    Limit,
+)
+from .election import LeaderElection, lengthen_for_drift
+from .lease_holder import LeaseHolder
+
+LEASE_REQUEST, LEASE_GRANT, NOT_LEADER = 27, 28, 29
+MESSAGE_LENGTHS = {
+    election.VOTE_REQUEST: 4,
+    election.VOTE: 5,
+    election.VOTE_RELEASE: 4,
+    LEASE_REQUEST: 6,
+    LEASE_GRANT: 7,
+    NOT_LEADER: 4,
+}  # and their lengths
+MAX_UNITS = 48  # in one ask, as one datagram holds; beyond, those longest unused are given up
 HOLD = 1_500  # ticks that a place is kept after its last use, while nobody waits for it
 GAP = 20  # ticks between two asks at least
-AHEAD, AHEAD_MOST = 2_500, TOKEN_LIFE * 3 // 4  # ticks of demand that are asked for; where asks are slow
+AHEAD, AHEAD_MOST = 2_500, TOKEN_LIFETIME * 3 // 4  # ticks of demand that are asked for; where asks are slow
 ROTATE = 4  # asks lost in a row after which another voter is asked
 LOOKS = 8  # of those who wait, for whom places are asked
 SCARCE = 5_000  # ticks after an ask for which its answer tells that there are none
-SPREAD = 3 * TICKS // 2  # come-back times of those refused: from a third of it to all of it
+SPREAD = 3 * TICKS_PER_SECOND // 2  # come-back times of those refused: from a third of it to all of it
 FOREVER = 2**60
 
 
-class Limits:
+class FleetLimits:
     """`out(name, message)` sends; `live()` names the members; `position`, `proxies`: as this one was told."""
 
     def __init__(
@@ -53,14 +70,16 @@
         self.me, self.life, self.voters = me, life, voters
         self.chance, self.out, self.live = chance, out, live
         self.position, self.proxies, self.say = position, proxies, say
-        self.holder = Holder(now)
-        self.keeper = Keeper(self.limits, hard_limit) if me in voters else None
-        self.seat = self.keeper and Seat(me, life, voters, TERM, CLOCKS, chance, self.send, live, now)
+        self.holder = LeaseHolder(now)
+        self.allocator = LeaseAllocator(self.limits, hard_limit) if me in voters else None
+        self.election = self.allocator and LeaderElection(
+            me, life, voters, TERM_TICKS, MAX_CLOCK_DRIFT, chance, self.send, live, now
+        )
         self.since = 0  # of the seat, when the keeper last began
         self.asks = ""  # who is asked
-        self.wake = lambda event: None  # the way to the decisions, for whoever drives them
+        self.post_event = lambda event: None  # the way to the decisions, for whoever drives them
         self.now = now
-        self.hosts = next((n for n, limit in self.limits.items() if limit.kind == HOST), None)
+        self.host_limit = next((n for n, limit in self.limits.items() if limit.kind == HOST), None)
         self.firsts = [(n, limit) for n, limit in self.limits.items() if limit.kind == RATE]
         self.further = next((n for n, limit in self.limits.items() if limit.kind == RETRIES), None)
         self.keys = {(n, 0): (i.FIRST, n if limit.profiles else None) for n, limit in self.firsts}
@@ -68,7 +87,7 @@
             self.keys[self.further, 0] = i.FURTHER, None
         self.units = {key: unit for unit, key in self.keys.items()}
         self.ready, self.by_mark, self.marks, self.own = None, {}, {}, {}
-        self.peaks: dict[Unit, tuple[int, int]] = {}  # most places in use lately, when; emptied by time
+        self.peak_use: dict[Unit, tuple[int, int]] = {}  # most places in use lately, when; emptied by time
         self.demand = {unit: 0.0 for unit in self.keys}  # tokens used a tick, of late
         self.floors = {unit: 0.0 for unit in self.keys}  # tokens of the floor in hand
         self.filled = dict.fromkeys(self.keys, now)
@@ -77,10 +96,15 @@
         self.told_hosts: dict[int, tuple] = {}  # as many as are listed
         self.ticked = now
         # guards against the hops of a process before this one, which may still be out at its own places
-        self.hard_limit, self.own_from = hard_limit, now + longer(hard_limit, CLOCKS)
+        self.hard_limit, self.own_places_from = (
+            hard_limit,
+            now + lengthen_for_drift(hard_limit, MAX_CLOCK_DRIFT),
+        )
         self.refused = Counter()  # limit -> transactions rolled back while it was short
         self.begun = self.left = False
-        self.give(now)  # guards against hops before the first look: nothing is allowed until it is lent
+        self.publish_allowance(
+            now
+        )  # guards against hops before the first look: nothing is allowed until it is lent
 
     # ---- between the decisions and whoever drives them
 
@@ -89,7 +113,7 @@
         if isinstance(event, i.TxArrived):  # demand, whether or not it is met
             unit = self.units.get(self.proxy.allowed.key((i.FIRST, event.profile)))
             if unit is not None:
-                self.demand[unit] += 1 / TICKS
+                self.demand[unit] += 1 / TICKS_PER_SECOND
         effects = self.inner.handle(now, event, seen)
         if self.holder.short and any(isinstance(effect, i.RollBack) for effect in effects):
             short = {unit[0] for unit in self.holder.short}
@@ -101,65 +125,65 @@
     def tick(self, now: int) -> None:
         """Several times a second."""
         passed, self.ticked, self.now = now - self.ticked, now, now
-        if self.seat is not None:
-            self.seat.tick(now)
+        if self.election is not None:
+            self.election.tick(now)
             if self.keeps(now):
-                self.answer(self.keeper.tick(now))
+                self.answer(self.allocator.tick(now))
         for unit in self.keys:
             self.spent(now, unit)
-            self.demand[unit] *= max(0.0, 1 - passed / TICKS)
-        self.give(now)
+            self.demand[unit] *= max(0.0, 1 - passed / TICKS_PER_SECOND)
+        self.publish_allowance(now)
         self.ask(now)
         if self.proxy.line:  # guards against entries of those that are gone, where no hop ends
-            self.wake(i.Allowed((), (), self.proxy.allowed.later))
+            self.post_event(i.Allowed((), (), self.proxy.allowed.later))
 
-    def come(self, now: int) -> None:
+    def activate(self, now: int) -> None:
         """It is the member from now on; a process before it was until now."""
-        self.own_from, self.left = now + longer(self.hard_limit, CLOCKS), False
-        if self.seat is not None:
-            self.seat.silent_until = self.seat.next = now + TERM
+        self.own_places_from, self.left = now + lengthen_for_drift(self.hard_limit, MAX_CLOCK_DRIFT), False
+        if self.election is not None:
+            self.election.silent_until = self.election.next_action_at = now + TERM_TICKS
 
     def leave(self, now: int) -> None:
         """Another process is this member from now on: what is out may end, nothing more goes out."""
         self.left = True
-        self.holder.drop()
-        if self.seat is not None:
-            self.seat.give_up(now)
+        self.holder.release_all()
+        if self.election is not None:
+            self.election.release_votes(now)
         self.floors = dict.fromkeys(self.floors, 0.0)
-        self.give(now)
+        self.publish_allowance(now)
 
     # ---- the hosts' units
 
-    def known(self) -> None:
-        if self.ready is not self.proxy.ready and self.hosts is not None:
-            limit, self.ready = self.limits[self.hosts], self.proxy.ready
+    def refresh_hosts(self) -> None:
+        if self.ready is not self.proxy.ready and self.host_limit is not None:
+            limit, self.ready = self.limits[self.host_limit], self.proxy.ready
             self.marks = {server.id: mark_of(server) for server in self.ready}
             self.by_mark = {mark: host for host, mark in self.marks.items()}
             self.own = {
                 host: self.own[host]
                 if host in self.own
-                else limit.own_places(mark, self.position, self.proxies)
+                else limit.own_places_at(mark, self.position, self.proxies)
                 for host, mark in self.marks.items()
             }
             for host, own in self.own.items():
                 if own:
                     self.told_hosts.setdefault(host, (0, 0, 0))
 
-    def unit(self, host: int) -> Unit:
-        return self.hosts, self.marks[host]
+    def host_unit(self, host: int) -> Unit:
+        return self.host_limit, self.marks[host]
 
     def mine(self, now: int, host: int) -> int:
         """Its own places there, which need no message."""
-        return self.own.get(host, 0) if now >= self.own_from and not self.left else 0
+        return self.own.get(host, 0) if now >= self.own_places_from and not self.left else 0
 
     # ---- what is wanted
 
-    def in_use(self, now: int) -> dict[Unit, int]:
+    def places_in_use(self, now: int) -> dict[Unit, int]:
         """Lent places with a hop out, by unit."""
         # guards against giving up places with a hop out at hosts that have left the list meanwhile
         servers = {server.id: server for server, _, _ in self.proxy.flying.values()}
         return {
-            (self.hosts, mark_of(server)): len(server.out) - own
+            (self.host_limit, mark_of(server)): len(server.out) - own
             for server in servers.values()
             if len(server.out) > (own := self.mine(now, server.id))
         }
@@ -168,35 +192,36 @@
         """Places, and tokens more, that would be of use."""
         proxy, places, tokens = self.proxy, {}, {}
         waiting = [tx for _, _, n in proxy.line[:LOOKS] if (tx := proxy.txs.get(n)) and tx.state == "waiting"]
-        if self.hosts is not None:
+        if self.host_limit is not None:
             for unit, n in used.items():
-                if n >= self.peaks.get(unit, (0, 0))[0]:
-                    self.peaks[unit] = n, now
-            for unit, (_, at) in list(self.peaks.items()):
+                if n >= self.peak_use.get(unit, (0, 0))[0]:
+                    self.peak_use[unit] = n, now
+            for unit, (_, at) in list(self.peak_use.items()):
                 if now - at > HOLD:
-                    self.peaks.pop(unit)
+                    self.peak_use.pop(unit)
                     if used.get(unit):
-                        self.peaks[unit] = used[unit], now
+                        self.peak_use[unit] = used[unit], now
             places = {
                 unit: used.get(unit, 0) if unit in self.holder.short else peak
-                for unit, (peak, _) in self.peaks.items()
+                for unit, (peak, _) in self.peak_use.items()
                 if unit[1] in self.by_mark
             }
             places = {unit: n for unit, n in places.items() if n}
             for tx in waiting:
                 for host in self.candidates(tx):
-                    unit = self.unit(host)
+                    unit = self.host_unit(host)
                     places[unit] = min(
-                        max(places.get(unit, 0), used.get(unit, 0)) + 1, int(self.limits[self.hosts].lent())
+                        max(places.get(unit, 0), used.get(unit, 0)) + 1,
+                        int(self.limits[self.host_limit].lendable()),
                     )
             # what is in use has to be named in the same datagram
-            free = sorted(places.keys() - used.keys(), key=lambda u: self.peaks.get(u, (0, now))[1])
-            for unit in free[: max(0, len(free) - max(0, UNITS - len(used)))]:
+            free = sorted(places.keys() - used.keys(), key=lambda u: self.peak_use.get(u, (0, now))[1])
+            for unit in free[: max(0, len(free) - max(0, MAX_UNITS - len(used)))]:
                 del places[unit]
         for unit, key in self.keys.items():
             wait = sum(self.proxy.allowed.key(tx.grant) == key for tx in waiting)
             ahead = max(AHEAD, min(AHEAD_MOST, 2 * self.holder.slow))
-            more = ceil(ahead * self.demand[unit]) + wait - self.holder.in_hand(now, unit)[0]
+            more = ceil(ahead * self.demand[unit]) + wait - self.holder.usable_tokens(now, unit)[0]
             if more > 0:
                 tokens[unit] = more
         return places, tokens
@@ -219,24 +244,31 @@
     def ask(self, now: int) -> None:
         if self.left or now - self.holder.asked_at < GAP and self.holder.sequence:
             return
-        self.known()
-        used = self.in_use(now) if self.hosts is not None else {}
+        self.refresh_hosts()
+        used = self.places_in_use(now) if self.host_limit is not None else {}
         places, tokens = self.wishes(now, used)
-        if not self.holder.due(now, places, tokens):
+        if not self.holder.request_due(now, places, tokens):
             return
         name = self.whom(now)
         if not name:
             return
-        sequence, got, rows = self.holder.ask(now, places, tokens, used)
-        self.give(now)  # first it gives up, then it says so
+        sequence, got, rows = self.holder.request(now, places, tokens, used)
+        self.publish_allowance(now)  # first it gives up, then it says so
         self.send(
             name,
-            [NEED, self.me, self.life, sequence, got, [[*row.unit, row.holds, row.want] for row in rows]],
+            [
+                LEASE_REQUEST,
+                self.me,
+                self.life,
+                sequence,
+                got,
+                [[*row.unit, row.holds, row.want] for row in rows],
+            ],
         )
 
     def view(self, now: int) -> list[dict]:
         """For operators: each limit, this proxy's part of it, how old that is, and what it refused."""
-        self.known()
+        self.refresh_hosts()
         found = []
         for n, limit in self.limits.items():
             row = {
@@ -245,14 +277,14 @@
                 "amount": limit.amount,
                 "floor": limit.floor,
                 "over": limit.over,
-                "age_ms": max(0, self.holder.age(now)) // 10,
-                "stale_ms": limit.stale() // 10,
+                "age_ms": max(0, self.holder.lease_age(now)) // 10,
+                "stale_ms": limit.max_staleness() // 10,
                 "keeper": self.asks,
                 "short": sum(unit[0] == n for unit in self.holder.short),
                 "refused": self.refused[n],
             }
-            if limit.places:
-                lent = self.holder.parts if now < self.holder.until else {}
+            if limit.counts_places:
+                lent = self.holder.held_places if now < self.holder.places_until else {}
                 found.append(
                     {
                         **row,
@@ -268,15 +300,15 @@
                     {
                         **row,
                         "own": int(self.floors[n, 0]),
-                        "lent": self.holder.in_hand(now, (n, 0))[0],
-                        "a_second": round(self.demand[n, 0] * TICKS, 1),
+                        "lent": self.holder.usable_tokens(now, (n, 0))[0],
+                        "a_second": round(self.demand[n, 0] * TICKS_PER_SECOND, 1),
                     }
                 )
         return found
 
     def whom(self, now: int) -> str:
         """The keeper, as far as it is known; else the voters in turn."""
-        if self.seat is not None and (known := self.seat.holder(now)):
+        if self.election is not None and (known := self.election.leader(now)):
             return known
         living = self.live()
         voters = [name for name in self.voters if name in living or name == self.me]
@@ -291,8 +323,8 @@
         """What they have used since they were told. The floor's bucket fills first: who went on after a stop
         has used what it was told before, and must not find it there a second time."""
         key, limit = self.keys[unit], self.limits[unit[0]]
-        rate, depth = limit.own_rate(self.proxies)
-        far = limit.over == BOUNDED and now < self.holder.until
+        rate, depth = limit.own_token_rate(self.proxies)
+        far = limit.over == BOUNDED and now < self.holder.places_until
         more = 0 if far or self.left else rate * (now - self.filled[unit])
         self.floors[unit] = min(depth, self.floors[unit] + more)
         self.filled[unit] = now
@@ -300,23 +332,23 @@
         if used > 0:
             self.seen[unit] += used
             if key[0] == i.FURTHER:
-                self.demand[unit] += used / TICKS
+                self.demand[unit] += used / TICKS_PER_SECOND
             floor = min(used, int(self.floors[unit]))
             self.floors[unit] -= floor
             self.holder.spend(now, unit, used - floor)
 
-    def give(self, now: int) -> None:
+    def publish_allowance(self, now: int) -> None:
         """Tells them what has changed."""
-        self.known()
+        self.refresh_hosts()
         rows, same, short = [], (), False
         if not self.begun:
             self.begun = True
-            rows += [((i.AT_HOST, None), 0, 0, FOREVER)] if self.hosts is not None else []
+            rows += [((i.AT_HOST, None), 0, 0, FOREVER)] if self.host_limit is not None else []
             same = tuple(
                 ((i.FIRST, profile), (i.FIRST, n)) for n, limit in self.firsts for profile in limit.profiles
             )
-        if self.hosts is not None:
-            lent, until = self.holder.parts, self.holder.until
+        if self.host_limit is not None:
+            lent, until = self.holder.held_places, self.holder.places_until
             now_lent = {self.by_mark[unit[1]]: n for unit, n in lent.items() if unit[1] in self.by_mark}
             for host in {**now_lent, **self.told_hosts}:
                 row = (self.mine(now, host), now_lent.get(host, 0), until if host in now_lent else 0)
@@ -328,7 +360,7 @@
                     self.told_hosts.pop(host, None)
         for unit, key in self.keys.items():
             self.spent(now, unit)
-            count, until = self.holder.in_hand(now, unit)
+            count, until = self.holder.usable_tokens(now, unit)
             row = int(self.floors[unit]), count, until
             scarce = unit in self.holder.short and now - self.holder.asked_at < SCARCE
             short |= scarce and not any(row[:2])
@@ -339,18 +371,18 @@
         if rows or same or bool(later) != bool(self.proxy.allowed.later):
             # at once, not through a queue: what is given up must not be used once the keeper is told
             self.proxy.allowed.tell(i.Allowed(tuple(rows), same, later))
-            self.wake(i.Allowed((), (), later))
+            self.post_event(i.Allowed((), (), later))
 
     # ---- messages
 
     def keeps(self, now: int) -> bool:
         """Whether the seat is this process's at this moment; its keeper begins anew with each time."""
-        if not self.seat.holds(now):
+        if not self.election.is_leader(now):
             return False
-        if self.since != self.seat.since:
-            self.since = self.seat.since
-            self.keeper.begin(now)
-            self.say("keeper", full_in_ms=self.keeper.lasts // 10)
+        if self.since != self.election.leader_since:
+            self.since = self.election.leader_since
+            self.allocator.start_term(now)
+            self.say("keeper", full_in_ms=self.allocator.grant_lifetime // 10)
         return True
 
     def send(self, name: str, message: list) -> None:
@@ -364,7 +396,7 @@
             self.send(
                 name,
                 [
-                    PART,
+                    LEASE_GRANT,
                     self.me,
                     life,
                     sequence,
@@ -375,48 +407,50 @@
             )
 
     def received(self, now: int, message: list) -> None:
-        """A message of a member, of the length that KINDS has; unsound parts of it count for nothing."""
+        """A message of a member, of the length in MESSAGE_LENGTHS; unsound parts count for nothing."""
         kind, self.now = message[0], now
-        if kind == NEED:
+        if kind == LEASE_REQUEST:
             return self.needed(now, message)
-        if kind == PART:
+        if kind == LEASE_GRANT:
             return self.parted(now, message)
-        if kind == NOT_ME:
+        if kind == NOT_LEADER:
             _, _, sequence, keeper = message
             if sequence == self.holder.sequence and keeper in self.voters:
                 self.asks = keeper
             return None
-        if self.seat is not None:
-            self.seat.received(now, message)
+        if self.election is not None:
+            self.election.received(now, message)
         return None
 
     def needed(self, now: int, message: list) -> None:
         _, name, life, sequence, got, rows = message
-        if self.seat is None:
+        if self.election is None:
             return
         if not self.keeps(now):
-            holder = self.seat.holder(now)
-            self.send(name, [NOT_ME, self.me, sequence, holder])
+            holder = self.election.leader(now)
+            self.send(name, [NOT_LEADER, self.me, sequence, holder])
             return
-        sound = [Row((row[0], row[1]), row[2], row[3]) for row in rows[: 2 * UNITS] if whole(row, 4)]
+        sound = [
+            LeaseRequest((row[0], row[1]), row[2], row[3]) for row in rows[: 2 * MAX_UNITS] if whole(row, 4)
+        ]
         if whole([life, sequence, got], 3):
-            self.answer(self.keeper.asked(now, (name, life), sequence, got, sound))
+            self.answer(self.allocator.request(now, (name, life), sequence, got, sound))
 
     def parted(self, now: int, message: list) -> None:
         _, name, life, sequence, version, rows, short = message
         if life != self.life or not whole([sequence, version], 2):
             return
         granted = {(row[0], row[1]): row[2] for row in rows if whole(row, 3) and row[0] in self.limits}
-        if self.holder.answered(
+        if self.holder.accept_grant(
             now,
             sequence,
             version,
             granted,
             {tuple(u) for u in short if whole(u, 2)},
-            lambda unit: not self.limits[unit[0]].places,
+            lambda unit: not self.limits[unit[0]].counts_places,
         ):
             self.asks = name
-            self.give(now)
+            self.publish_allowance(now)
 
 
 def mark_of(server) -> int:
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -7,7 +7,7 @@
 transaction nothing.
 
     a verdict stands no longer than the life of a `trial` past the last word on it
-    no more than MOST_OUT of the ready hosts are out, whatever is told
+    no more than MAX_OUT_SHARE of the ready hosts are out, whatever is told
     who blames hosts that nobody else blames has a bad link of its own, and counts for nobody
 
 The states of a host, and what leads from one to another, are in LIFE. Verdicts make wary and nothing else:
@@ -20,15 +20,14 @@
 import xxhash
 
 from ..policy import interface as i
-from .evidence import WINDOW, Seen, Word, plain
-from .evidence import read as read_word
-from .facts import Table
+from .evidence import WINDOW, HostObservations, HostReport, parse_report, report_value
+from .facts import FactTable
 
-HOST, TRIAL = "host", "trial"  # kinds of facts
-LIVES = {HOST: WINDOW, TRIAL: 100_000}  # ticks
+HOST_FACT, TRIAL_FACT = "host", "trial"  # kinds of facts
+FACT_LIFETIMES = {HOST_FACT: WINDOW, TRIAL_FACT: 100_000}  # ticks
 QUORUM = 2  # witnesses of a host's silence, with nothing heard since by anyone
 FAULTS, WITNESSES, SHARE = 4, 3, 0.3  # faults, of so many proxies, and such a share above common
-MOST_OUT = 0.3  # of the ready hosts
+MAX_OUT_SHARE = 0.3  # of the ready hosts
 LONE = 3  # hosts that a proxy blames alone, from which on its own link is bad
 AGAIN, ANSWERS = 1_000, 3_000  # ticks between two words on a host: with a new fault, without
 PACE, SLOW_PACE, FRESH = 10_000, 18_000, 50_000  # ticks between trials; with none out for less than FRESH
@@ -68,7 +67,7 @@
     reason: str
     began: int  # ticks, on the reader's clock
     told: int
-    mark: int = 0  # of the fact it came as
+    fact_id: int = 0  # of the fact it came as
 
 
 class State:
@@ -87,7 +86,7 @@
         return min(NEED_MOST, first + max(0, self.strikes - 1))
 
 
-def judge(words: list[Word], common: float, members: int) -> tuple[str, list[Word]]:
+def assess(words: list[HostReport], common: float, members: int) -> tuple[str, list[HostReport]]:
     """Why a host is at fault by these words, and whose they are; "" where it is not."""
     heard = max((word.heard for word in words), default=0)
     silent = [word for word in words if word.late and word.late_sent > heard]
@@ -104,16 +103,16 @@
     return "", []
 
 
-def in_zone(words: list[Word], zone: str, common: float, members: int) -> tuple[str, list[Word]]:
+def in_zone(words: list[HostReport], zone: str, common: float, members: int) -> tuple[str, list[HostReport]]:
     """As this zone's proxies see it, where they see it otherwise than the rest: a way may be bad."""
     near = [word for word in words if word.zone == zone]
     if near and len(near) < len(words):
-        reason, by = judge(near, common, members)
+        reason, by = assess(near, common, members)
         doubted = max(word.late_sent for word in near)
         clears = any(word.answers and word.heard > doubted for word in near)
         if reason or clears:
             return reason, by
-    reason, by = judge(words, common, members)
+    reason, by = assess(words, common, members)
     # one other zone alone says nothing of the way from here
     return (
         ("", [])
@@ -122,7 +121,7 @@
     )
 
 
-def lone(blamed: dict[str, set[str]]) -> set[str]:
+def members_with_bad_link(blamed: dict[str, set[str]]) -> set[str]:
     """Authors that blame at least LONE hosts alone, and more than with others: by host, who blames it."""
     alone, shared = {}, {}
     for authors in blamed.values():
@@ -133,37 +132,37 @@
 
 
 @lru_cache(maxsize=64)
-def ranks(members: tuple[str, ...], round_: int) -> dict[str, int]:
+def trial_order(members: tuple[str, ...], round_: int) -> dict[str, int]:
     """Who comes first in this round, by rendezvous hashing: all that know the same members draw alike."""
     order = sorted(members, key=lambda name: xxhash.xxh64_intdigest(f"{round_}\0{name}".encode()))
     return {name: rank for rank, name in enumerate(order)}
 
 
-def subject(line: i.Host) -> str:
+def subject_of(line: i.Host) -> str:
     """A host's process, by the number of its id and its start: a word on the life before is none on this."""
     return f"{line.hash:x}.{line.started or 0}"
 
 
-class Verdicts:
-    """`handle` in place of the decisions' own; `look` several times a second gives the event they are told.
+class HostVerdicts:
+    """`handle` in place of the decisions' own; `evaluate` several times a second gives their event.
 
     `live()`: the members that live, sorted, this one among them.
     """
 
-    def __init__(self, proxy, table: Table, zone: str, live, say=lambda event, **fields: None) -> None:
+    def __init__(self, proxy, table: FactTable, zone: str, live, say=lambda event, **fields: None) -> None:
         self.proxy, self.table, self.live, self.say = proxy, table, live, say
-        self.seen = Seen(table.me, zone)
+        self.seen = HostObservations(table.me, zone)
         self.states: dict[str, State] = {}  # subject -> ; emptied as strikes are forgotten
-        self.told: dict[str, Word] = {}  # subject -> this proxy's last word; emptied by age
+        self.told: dict[str, HostReport] = {}  # subject -> this proxy's last word; emptied by age
         self.trying: tuple | None = None  # (host, round): what the decisions were told to try
         self.trial: tuple | None = None  # (tx, host, subject, round, run, need, reason, began)
-        self.listed, self.numbers = None, {}  # the ready hosts as last read; subject -> number
+        self.listed, self.host_by_subject = None, {}  # the ready hosts as last read; subject -> number
         self.last: tuple | None = None  # what the decisions were told last
         self.fresh_until = 0
         self.alone = False  # this proxy's own link is bad
-        self.words: dict[str, list[Word]] = {}
-        self.hurry = lambda: None  # called where others should know of a word at once
-        self.acted = lambda name, kind, words: None  # told of each use of words against a host
+        self.words: dict[str, list[HostReport]] = {}
+        self.on_urgent_fact = lambda: None  # called where others should know of a word at once
+        self.on_evidence_used = lambda name, kind, words: None  # told of each use of words against a host
 
     # ---- between the decisions and whoever drives them
 
@@ -182,7 +181,7 @@
         return effects
 
     def begins(self, now: int, tx: int, host: int, round_: int) -> None:
-        name = subject(self.proxy.servers[host].line)
+        name = subject_of(self.proxy.servers[host].line)
         state = self.states.get(name)
         if state is None:
             return
@@ -206,8 +205,8 @@
     def tell_trial(self, now: int, phase: int, run: int) -> None:
         _, _, name, round_, _, need, reason, began = self.trial
         value = (round_, phase, run, need, reason, now - began, self.seen.zone)
-        self.table.tell(now, TRIAL, name, value, len(self.live()))
-        self.hurry()
+        self.table.publish(now, TRIAL_FACT, name, value, len(self.live()))
+        self.on_urgent_fact()
 
     # ---- what is known
 
@@ -215,13 +214,15 @@
         """Words by host, each with its age, without those of proxies whose own link is bad."""
         if self.listed is not self.proxy.ready:
             self.listed = self.proxy.ready
-            self.numbers = {subject(server.line): server.id for server in self.listed}
+            self.host_by_subject = {subject_of(server.line): server.id for server in self.listed}
             self.seen.forget(self.proxy.servers)
         words = {}
-        for name in self.table.subjects(HOST):
-            if name in self.numbers:
-                words[name] = self.table.made(now, HOST, name, read_word)
-        bad = lone({name: {w.who for w in found if w.blames} for name, found in words.items()})
+        for name in self.table.subjects(HOST_FACT):
+            if name in self.host_by_subject:
+                words[name] = self.table.parsed(now, HOST_FACT, name, parse_report)
+        bad = members_with_bad_link(
+            {name: {w.who for w in found if w.blames} for name, found in words.items()}
+        )
         self.words = {name: [w for w in found if w.who not in bad] for name, found in words.items()}
         if (self.table.me in bad) != self.alone:
             self.alone = self.table.me in bad
@@ -230,16 +231,16 @@
     def trials(self, now: int) -> list[Trial]:
         return [
             trial
-            for name in self.table.subjects(TRIAL)
-            for trial in self.table.made(now, TRIAL, name, read_trial)
+            for name in self.table.subjects(TRIAL_FACT)
+            for trial in self.table.parsed(now, TRIAL_FACT, name, parse_trial)
         ]
 
     # ---- several times a second
 
-    def look(self, now: int, seen: int) -> i.Judged | None:
+    def evaluate(self, now: int, seen: int) -> i.Judged | None:
         """What the decisions are to be told, if it is another thing than before or its time runs out."""
         blamed = self.seen.blamed(seen, self.proxy)
-        if not blamed and not self.states and not self.table.held:
+        if not blamed and not self.states and not self.table.entries:
             return None
         self.read(now)
         self.tell(now, seen, blamed)
@@ -247,7 +248,7 @@
         trials = self.trials(now)
         latest: dict[str, Trial] = {}
         for trial in trials:
-            if trial.subject in self.numbers and (
+            if trial.subject in self.host_by_subject and (
                 trial.subject not in latest or trial.round >= latest[trial.subject].round
             ):
                 latest[trial.subject] = trial
@@ -261,11 +262,11 @@
         """This proxy's words: on hosts that it blames, or has blamed and may clear; on those that several
         blame, how they were to it; on those that are out, only that one was heard since."""
         servers = self.proxy.servers
-        names = {subject(servers[host].line): host for host in blamed if host in servers}
+        names = {subject_of(servers[host].line): host for host in blamed if host in servers}
         asked = {name for name, words in self.words.items() if sum(w.blames for w in words) >= QUORUM}
         asked |= {name for name, word in self.told.items() if word.blames}
         out = {name for name, state in self.states.items() if state.state == OUT}
-        names |= {name: self.numbers[name] for name in asked | out if name in self.numbers}
+        names |= {name: self.host_by_subject[name] for name in asked | out if name in self.host_by_subject}
         for name in sorted(names):
             word, before = self.seen.word(now, seen, self.proxy, names[name]), self.told.get(name)
             since = now - before.told if before else WINDOW
@@ -286,7 +287,7 @@
             )
             if worse and since >= AGAIN or clears or counts and since >= ANSWERS:
                 self.told[name] = word
-                self.table.tell(now, HOST, name, plain(self.seen.zone, word), len(self.live()))
+                self.table.publish(now, HOST_FACT, name, report_value(self.seen.zone, word), len(self.live()))
         for name in [name for name, word in self.told.items() if now - word.told > WINDOW]:
             del self.told[name]
 
@@ -296,7 +297,7 @@
             sum(w.faults for w in words) / max(1, sum(w.faults + w.answers for w in words))
             for words in self.words.values()
         )
-        place = (len(self.numbers) - 1) // 2 - (len(self.numbers) - len(shares))
+        place = (len(self.host_by_subject) - 1) // 2 - (len(self.host_by_subject) - len(shares))
         return shares[place] if 0 <= place < len(shares) else 0.0
 
     def step(self, now: int, name: str, trial: Trial | None, common: float) -> None:
@@ -310,8 +311,8 @@
             if following == OUT:
                 state.strikes = state.strikes + 1 if now - state.struck < STRIKES else 1
                 state.struck, state.reason = now, reason
-            if following == BACK and name in self.numbers:
-                self.seen.anew(self.numbers[name], now)
+            if following == BACK and name in self.host_by_subject:
+                self.seen.anew(self.host_by_subject[name], now)
             why = given if given == "forgotten" else state.reason
             self.say(
                 "verdict",
@@ -319,23 +320,23 @@
                 state=following,
                 reason=why,
                 by=[word.who for word in by][:8],
-                facts=[word.mark for word in by][:8],
+                facts=[word.fact_id for word in by][:8],
             )
             state.state, state.since = following, now
             self.states[name] = state
         if state.state == OUT and by:
             state.by = tuple(sorted({word.who for word in by}))
             state.known = max(state.known, *(word.told for word in by))
-            kind = TRIAL if isinstance(by[0], Trial) else HOST
-            if kind == HOST:
+            kind = TRIAL_FACT if isinstance(by[0], Trial) else HOST_FACT
+            if kind == HOST_FACT:
                 state.late_sent = max(state.late_sent, max((w.late_sent for w in by if w.late), default=0))
-            self.acted(name, kind, by)
+            self.on_evidence_used(name, kind, by)
         if name in self.states and (
-            name not in self.numbers or state.state == OPEN and (now - state.struck >= STRIKES)
+            name not in self.host_by_subject or state.state == OPEN and (now - state.struck >= STRIKES)
         ):
             del self.states[name]
 
-    def found(self, now: int, state: State, words: list[Word], trial: Trial | None, common: float):
+    def found(self, now: int, state: State, words: list[HostReport], trial: Trial | None, common: float):
         """What speaks for another state: (given, the words it stands on, reason)."""
         members = len(self.live())
         if state.state == BACK:
@@ -362,19 +363,21 @@
             return "stands", by, reason
         if state.reason == SILENT and any(w.heard > state.late_sent for w in words):
             return "cleared", [w for w in words if w.heard > state.late_sent], ""
-        return ("forgotten" if now - state.known > self.table.lives[TRIAL] else ""), [], ""
+        return ("forgotten" if now - state.known > self.table.lifetimes[TRIAL_FACT] else ""), [], ""
 
     def too_many(self) -> bool:
         """Out and fresh ones together: what some are kept from must not push over those that bear little."""
-        out = sum(state.state == OUT for name, state in self.states.items() if name in self.numbers)
+        out = sum(state.state == OUT for name, state in self.states.items() if name in self.host_by_subject)
         fresh = sum(server.fresh_from is not None for server in self.listed)
-        return out + fresh >= int(MOST_OUT * len(self.listed))
+        return out + fresh >= int(MAX_OUT_SHARE * len(self.listed))
 
     # ---- trials
 
     def draw(self, now: int, trials: list[Trial], latest: dict[str, Trial]) -> tuple | None:
         """Which host this proxy is to try now, and the round; None: it is another's turn, or nobody's."""
-        out = [name for name, state in self.states.items() if state.state == OUT and name in self.numbers]
+        out = [
+            name for name, state in self.states.items() if state.state == OUT and name in self.host_by_subject
+        ]
         if not out:
             return None
         newest = max(trials, key=lambda trial: (trial.round, trial.began), default=None)
@@ -389,21 +392,21 @@
             round_, due = newest.round + 1, newest.began + pace
         members = self.live()
         drawn = 2 ** max(0, min(20, (now - due) // STEP))
-        if now < due or ranks(members, round_).get(self.table.me, len(members)) >= drawn:
+        if now < due or trial_order(members, round_).get(self.table.me, len(members)) >= drawn:
             return None
 
         def turn(name):
             last = latest.get(name)
             return (last is None or last.phase != GOOD, last.began if last else 0, name)
 
-        return self.numbers[min(out, key=turn)], round_
+        return self.host_by_subject[min(out, key=turn)], round_
 
     # ---- what the decisions are told
 
     def event(self, now: int, drawn: tuple | None) -> i.Judged | None:
         hosts = []
         for name, state in self.states.items():
-            host = self.numbers.get(name)
+            host = self.host_by_subject.get(name)
             if host is None:
                 continue
             if state.state == OUT:
@@ -426,7 +429,7 @@
         """For operators: why a host is out, who says so, and how old that is against its life; ages in ms."""
         found = []
         for name, state in sorted(self.states.items()):
-            if state.state == OPEN or name not in self.numbers:
+            if state.state == OPEN or name not in self.host_by_subject:
                 continue
             words = [
                 {
@@ -437,7 +440,7 @@
                     "errors": w.errors,
                     "answers": w.answers,
                     "age_ms": (now - w.told) // 10,
-                    "life_ms": self.table.lives[HOST] // 10,
+                    "life_ms": self.table.lifetimes[HOST_FACT] // 10,
                 }
                 for w in self.words.get(name, ())
             ]
@@ -447,14 +450,14 @@
                     "round": t.round,
                     "phase": PHASES[t.phase],
                     "age_ms": (now - t.told) // 10,
-                    "life_ms": self.table.lives[TRIAL] // 10,
+                    "life_ms": self.table.lifetimes[TRIAL_FACT] // 10,
                 }
                 for t in self.trials(now)
                 if t.subject == name
             ]
             found.append(
                 {
-                    "host": self.numbers[name],
+                    "host": self.host_by_subject[name],
                     "state": state.state,
                     "reason": state.reason,
                     "since_ms": (now - state.since) // 10,
@@ -467,7 +470,7 @@
         return found
 
 
-def read_trial(fact, told: int) -> Trial | None:
+def parse_trial(fact, told: int) -> Trial | None:
     """A fact back, told at that moment; None where its value is none."""
     value = fact.value
     if (
@@ -481,5 +484,15 @@
     if phase > VOID or reason not in (SILENT, FAILING):
         return None
     return Trial(
-        fact.subject, fact.author, zone, round_, phase, run, max(1, need), reason, told - ago, told, fact.mark
+        fact.subject,
+        fact.author,
+        zone,
+        round_,
+        phase,
+        run,
+        max(1, need),
+        reason,
+        told - ago,
+        told,
+        fact.fact_id,
     )
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from .. import terms
-from ..fleet.counting import Counting
+from ..fleet.aggregation import FaultAggregator
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol.catalogue import Line
@@ -79,7 +79,7 @@
         proxy = self.proxies[n] = Proxy(
             agreed, terms.number(f"proxy {n} of {self.seed}{again}"), self.ticks_of(n)
         )
-        mind = Counting(proxy)
+        mind = FaultAggregator(proxy)
         if self.talking is not None:
             mind = self.talking.start(n, proxy, agreed.zone, first)
         self.minds[n] = Asking(Following(agreed, proxy.chance), mind)
--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -1,8 +1,8 @@
 """Every run of the keeper's seat that a small world allows: states in a queue, and none with two holders.
 
 Three voters, of whom two may claim; messages lost, doubled, reordered; one restart that forgets; clocks at
-both ends of what they may differ by. The next state is made by `fleet.seat` itself, loaded with a state and
-read again. Times are chosen so that the bound is tight: TERM of the fastest clock is what remains to the
+both ends of what they may differ by. The next state is made by `fleet.election` itself, loaded with a state
+and read again. Times are chosen so that the bound is tight: TERM of the fastest clock is what remains to the
 slowest holder. `python -m basalthook.lab.explore` prints the number of states.
 """
 
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..fleet.seat import Seat
+from ..fleet.election import LeaderElection
 
 NAMES = "a", "b", "c"
 STEPS = 4, 6, 5  # ticks a step of each one's clock: a is slow, b is fast
@@ -25,7 +25,7 @@
 
 
 class Explorer:
-    def __init__(self, steps: int = 6, claims: int = 2, restarts: int = 1, make=Seat) -> None:
+    def __init__(self, steps: int = 6, claims: int = 2, restarts: int = 1, make=LeaderElection) -> None:
         """Bounds of the world; `make`: what is explored, a test hands in one with a fault planted."""
         self.steps, self.claims, self.restarts = steps, claims, restarts
         self.sent: list[tuple] = []
@@ -41,19 +41,21 @@
     def sender(self, name: str, message: list) -> None:
         self.sent.append((NAMES.index(name), tuple(message)))
 
-    def load(self, world: World, n: int) -> Seat:
+    def load(self, world: World, n: int) -> LeaderElection:
         member = self.members[n]
-        (member.life, member.silent_until, member.vote, member.round, member.valid, claims) = world.seats[n]
-        member.claims = {number: (at, set(votes)) for number, at, votes in claims}
+        (member.life, member.silent_until, member.vote, member.round, member.valid_until, claims) = (
+            world.seats[n]
+        )
+        member.ballots = {number: (at, set(votes)) for number, at, votes in claims}
         self.sent.clear()
         return member
 
     @staticmethod
-    def freeze(member: Seat) -> tuple:
-        claims = tuple((number, at, tuple(sorted(votes))) for number, (at, votes) in member.claims.items())
-        return member.life, member.silent_until, member.vote, member.round, member.valid, claims
+    def freeze(member: LeaderElection) -> tuple:
+        claims = tuple((number, at, tuple(sorted(votes))) for number, (at, votes) in member.ballots.items())
+        return member.life, member.silent_until, member.vote, member.round, member.valid_until, claims
 
-    def after(self, world: World, n: int, member: Seat) -> World:
+    def after(self, world: World, n: int, member: LeaderElection) -> World:
         """What is sent stays in the air: it may arrive at any time, never, or any number of times."""
         frozen = world.seats[:n] + (self.freeze(member),) + world.seats[n + 1 :]
         return world._replace(seats=frozen, air=world.air | frozenset(self.sent))
@@ -72,11 +74,11 @@
             now = self.clock(world, n)
             member = self.load(world, n)
             if member.round < self.claims and now >= member.silent_until:
-                member.claim(now)
+                member.request_votes(now)
                 yield self.after(world, n, member)
             member = self.load(world, n)
-            if member.claims:
-                member.give_up(now)
+            if member.ballots:
+                member.release_votes(now)
                 yield self.after(world, n, member)
         if world.restarts < self.restarts:
             for n in range(3):
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -4,9 +4,10 @@
     spent    no window holds more tokens than amount and burst grant it
     idle     ten quiet seconds after the last fault, places that are free are had by who wants one
 
-What ships (fleet.limits with seat, keeper and holder) stands beside a stand-in for the decisions that takes
-whatever it is allowed. A schedule is a few members, demand that comes and goes, and cuts, losses, doubles,
-delays longer than a lease, kills with all forgotten, stops for up to three leases, clocks apart and fast.
+What ships (fleet.limits with election, allocator and lease_holder) stands beside a stand-in for the
+decisions that takes whatever it is allowed. A schedule is a few members, demand that comes and goes, and
+cuts, losses, doubles, delays longer than a lease, kills with all forgotten, stops for up to three leases,
+clocks apart and fast.
 `python -m basalthook.lab.leases FIRST COUNT` plays so many seeds.
 """
 
@@ -19,7 +20,7 @@
 from typing import NamedTuple
 
 from ..fleet.bounds import HOST, NEVER, RATE, Limit
-from ..fleet.limits import Limits
+from ..fleet.limits import FleetLimits
 from ..policy import interface as i
 from ..policy.measure import Allowance
 
@@ -37,7 +38,7 @@
 
 
 class Decisions:
-    """What Limits reads of the real ones. Each waiting transaction goes wherever it is allowed."""
+    """What FleetLimits reads of the real ones. Each waiting transaction goes wherever it is allowed."""
 
     def __init__(self, hosts: int) -> None:
         lines = [SimpleNamespace(hash=1000 + n) for n in range(hosts)]
@@ -65,7 +66,7 @@
         self.run, self.n, self.name, self.proxy = run, n, f"p{n}", Decisions(run.hosts)
         self.life, self.numbers = run.lives[n], count()
         chance = Random(f"{run.seed} {n} {self.life}")
-        self.limits = Limits(
+        self.limits = FleetLimits(
             self.proxy,
             self.proxy,
             run.limits,
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -17,13 +17,13 @@
     refused = {int(e.at) for e in wire if isinstance(e, Answered) and e.status in ROLLED_BACK}
     for limit in told.fleet.limits:
         rule = bound(limit, names)
-        if rule.places:
+        if rule.counts_places:
             most, used = held(wire, rule.amount, refused)
             over = max(0.0, most / rule.amount - 1) if rule.amount else float(most)
         else:
             times = first_hops(wire, set(limit.profiles)) if rule.kind == bounds.RATE else further(wire)
             over, used = beyond(times, rule.amount, rule.burst), served(times, rule.amount, refused)
-        found[limit.name] = {"over_most": round(over, 3), "over_bound": rule.over_bound(), "used": used}
+        found[limit.name] = {"over_most": round(over, 3), "over_bound": rule.max_excess(), "used": used}
     return found
 
 
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -20,7 +20,7 @@
 import msgspec
 import orjson
 
-from ..fleet.verdicts import LIVES, OUT
+from ..fleet.verdicts import FACT_LIFETIMES, OUT
 from . import overrun, syscalls
 from .faults import ClockFault, LongWay, Maintain, StopProxy, Vanish
 from .load import Clients
@@ -274,13 +274,13 @@
     def figures(self, begin: float) -> dict:
         """`staleness` is of the proxies' own logs against what the relays saw; messages are the relays'."""
         relays, seconds, count = self.relays, self.told.seconds, self.told.proxies
-        staleness, over = dict.fromkeys(LIVES, 0.0), 0
+        staleness, over = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
         for at, n, event, fields in self.said:
             for mark in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
                 if mark in relays.first:
                     kind, age = relays.kinds[mark], self.acted(at, n, fields) - relays.first[mark]
                     staleness[kind] = max(staleness[kind], age)
-                    over += age > LIVES[kind] / 10_000 * (1 + CLOCKS_APART) + LOOK
+                    over += age > FACT_LIFETIMES[kind] / 10_000 * (1 + CLOCKS_APART) + LOOK
         suspected = Counter(
             (at, fields["name"])
             for at, _, event, fields in self.said
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -127,7 +127,7 @@
         """
         author, life, kind, subject, sequence, value, ticks = plain
         age = ticks / 10_000
-        mark = Fact(author, life, kind, subject, sequence, tuple(value), ticks).mark
+        mark = Fact(author, life, kind, subject, sequence, tuple(value), ticks).fact_id
         first = self.first.setdefault(mark, sent_at - age)
         self.kinds[mark] = kind
         if age < (since - first) * SLOW_CLOCK - ROUNDING:
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import NamedTuple
 
-from ..fleet.talk import Talk
+from ..fleet.gossip import Gossip
 from .faults import Cut, Lossy
 from .links import Links, spoil
 
@@ -37,7 +37,7 @@
 
 
 class Run:
-    def __init__(self, seed: int, talk=Talk) -> None:
+    def __init__(self, seed: int, talk=Gossip) -> None:
         """`talk`: what is played; a test hands in one with a fault planted."""
         self.chance, self.now, self.heap, self.order = Random(f"schedule {seed}"), 1_000_000, [], count()
         self.size = self.chance.randint(2, 7)
@@ -150,7 +150,7 @@
         if talk is None or n in self.stopped:
             return
         kind, subject = self.chance.choice(tuple(LIVES)), self.chance.choice("abc")
-        fact = talk.table.tell(self.clock(n), kind, subject, (self.chance.randrange(9),), len(talk.live()))
+        fact = talk.table.publish(self.clock(n), kind, subject, (self.chance.randrange(9),), len(talk.live()))
         self.told[fact.author, fact.life, fact.sequence] = self.now
 
     def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
@@ -171,7 +171,7 @@
     # ---- what must hold
 
     def look(self, n: int, talk) -> None:
-        for fact in talk.table.all(self.clock(n)):
+        for fact in talk.table.live_facts(self.clock(n)):
             told = self.told.get((fact.author, fact.life, fact.sequence))
             if told is not None and self.now - told > LIVES[fact.kind] * (1 + DRIFT) + GRAIN:
                 self.broken.append(Broken("old", self.now - self.begin, n, f"{fact}, {self.now - told}"))
@@ -184,7 +184,7 @@
                 continue
             if set(talk.live()) != living:
                 self.broken.append(Broken("apart", self.now - self.begin, n, f"{talk.live()} of {living}"))
-            words = talk.table.all(self.clock(n))
+            words = talk.table.live_facts(self.clock(n))
             held[n] = {(f.author, f.life, f.kind, f.subject, f.sequence) for f in words if self.sure(f)}
             mine = {(f.author, f.life, f.sequence) for f in words}
             last = max(
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -3,10 +3,10 @@
 from collections import Counter
 from random import Random
 
-from ..fleet.counting import Counting
-from ..fleet.limits import KINDS, Limits
-from ..fleet.talk import Talk
-from ..fleet.verdicts import LIVES, OUT, Verdicts
+from ..fleet.aggregation import FaultAggregator
+from ..fleet.gossip import Gossip
+from ..fleet.limits import MESSAGE_LENGTHS, FleetLimits
+from ..fleet.verdicts import FACT_LIFETIMES, OUT, HostVerdicts
 from ..membership.member import ALIVE, Update
 from .links import spoil
 from .result import mean_and_most
@@ -29,14 +29,14 @@
 
     def __init__(self, fleet, count: int) -> None:
         self.fleet, self.count = fleet, count
-        self.talks: list[Talk | None] = [None] * count
-        self.minds: list[Verdicts | None] = [None] * count
-        self.limits: list[Limits | None] = [None] * count
+        self.talks: list[Gossip | None] = [None] * count
+        self.minds: list[HostVerdicts | None] = [None] * count
+        self.limits: list[FleetLimits | None] = [None] * count
         self.ways = Random(f"datagrams of {fleet.seed}")
         self.waiting: dict[int, list] = {}  # stopped proxy -> datagrams; emptied as it goes on
         self.said: list[tuple] = []  # (when, proxy, event, fields)
         self.told_at: dict[tuple, float] = {}  # (author, life, sequence) -> when it was told
-        self.staleness = {kind: 0.0 for kind in LIVES}
+        self.staleness = {kind: 0.0 for kind in FACT_LIFETIMES}
         self.over_age: list[tuple] = []  # facts acted on past their kind's life: a defect
         self.lives = [0] * count
         self.sent, self.sent_bytes = Counter(), Counter()
@@ -50,34 +50,34 @@
         life = max(1, int(fleet.wall(n) * 1000))
         seeds = [(f"p{seed}", 1) for seed in range(min(SEEDS, self.count))]
         chance = Random(f"member {n} of {fleet.seed}, life {self.lives[n]}")
-        talk = Talk(
+        talk = Gossip(
             name,
             (name, 1),
             life,
             seeds,
             KEY,
-            LIVES,
+            FACT_LIFETIMES,
             chance,
             lambda address, data: self.send(n, address, data),
             lambda event, **fields: self.said.append((fleet.now, n, event, fields)),
         )
-        tell = talk.table.tell
+        tell = talk.table.publish
 
         def noted(*given):
             fact = tell(*given)
             self.told_at[fact.author, fact.life, fact.sequence] = self.fleet.now
             return fact
 
-        talk.table.tell = noted
+        talk.table.publish = noted
 
         def say(event, **fields):
             self.said.append((fleet.now, n, event, fields))
 
         mind = None
         if "verdicts" in fleet.told.fleet.shares:
-            mind = Verdicts(proxy, talk.table, zone, talk.live, say)
-            mind.hurry = talk.rumours
-            mind.acted = lambda name, kind, words: self.acted(n, kind, words)
+            mind = HostVerdicts(proxy, talk.table, zone, talk.live, say)
+            mind.on_urgent_fact = talk.send_rumours
+            mind.on_evidence_used = lambda name, kind, words: self.acted(n, kind, words)
         known = (
             [
                 Update(f"p{k}", f"p{k}", 1, max(1, int(fleet.wall(k) * 1000)), 0, ALIVE)
@@ -89,22 +89,22 @@
         talk.begin(fleet.ticks_of(n), known)
         self.talks[n], self.minds[n] = talk, mind
         fleet.later(TICK * self.ways.random(), self.tick, n, self.lives[n])
-        beside = mind or Counting(proxy)
+        beside = mind or FaultAggregator(proxy)
         if "limits" in fleet.told.fleet.shares:
             beside = self.limit(n, life, proxy, beside, talk, say)
             if first:  # a run begins with a fleet that holds nothing
-                beside.own_from = fleet.ticks_of(n)
-                if beside.seat is not None:
-                    beside.seat.silent_until = beside.seat.next = fleet.ticks_of(n)
-                    beside.keeper.nothing_out = True
+                beside.own_places_from = fleet.ticks_of(n)
+                if beside.election is not None:
+                    beside.election.silent_until = beside.election.next_action_at = fleet.ticks_of(n)
+                    beside.allocator.no_leases_out = True
         return beside
 
-    def limit(self, n: int, life: int, proxy, inner, talk: Talk, say) -> Limits:
+    def limit(self, n: int, life: int, proxy, inner, talk: Gossip, say) -> FleetLimits:
         fleet, told = self.fleet, self.fleet.told
         names = [p.name for p in told.load.profiles]
         voters = tuple(keepers(self.count))
         hard_limit = int(max(p.hard_limit for p in told.load.profiles) * 10_000)
-        limits = Limits(
+        limits = FleetLimits(
             inner,
             proxy,
             [bound(limit, names) for limit in told.fleet.limits],
@@ -115,13 +115,13 @@
             proxy.terms.proxies,
             hard_limit,
             Random(f"limits {n} of {fleet.seed}, life {self.lives[n]}"),
-            talk.post,
+            talk.send_to,
             talk.live,
             fleet.ticks_of(n),
             say,
         )
-        limits.wake = lambda event: fleet.later(0, fleet.tell, n, event, fleet.lives[n])
-        talk.kinds, talk.others = KINDS, limits.received
+        limits.post_event = lambda event: fleet.later(0, fleet.tell, n, event, fleet.lives[n])
+        talk.message_lengths, talk.on_message = MESSAGE_LENGTHS, limits.received
         self.limits[n] = limits
         return limits
 
@@ -148,7 +148,7 @@
         talk.tick(now)
         if self.limits[n] is not None:
             self.limits[n].tick(now)
-        judged = self.minds[n].look(now, now) if self.minds[n] is not None else None
+        judged = self.minds[n].evaluate(now, now) if self.minds[n] is not None else None
         if judged is not None:
             fleet.tell(n, judged)
 
@@ -176,12 +176,12 @@
 
     def acted(self, n: int, kind: str, words) -> None:
         """By the lab's clock, not the proxy's: how old was the oldest fact that it acts on."""
-        held = self.talks[n].table.marks
+        held = self.talks[n].table.by_id
         for word in words:
-            fact = held[word.mark].fact
+            fact = held[word.fact_id].fact
             age = self.fleet.now - self.told_at[fact.author, fact.life, fact.sequence]
             self.staleness[kind] = max(self.staleness[kind], age)
-            if age * 10_000 > LIVES[kind] * (1 + DRIFT):
+            if age * 10_000 > FACT_LIFETIMES[kind] * (1 + DRIFT):
                 self.over_age.append((self.fleet.now, n, kind, age))
 
     # ---- what a run comes to
--- a/basalthook/membership/member.py
+++ b/basalthook/membership/member.py
@@ -49,7 +49,7 @@
         return self[3:6]
 
 
-class Changed(NamedTuple):
+class MemberChange(NamedTuple):
     """A member is seen otherwise than before; `by`: whose word it is, of a suspicion its first witness."""
 
     update: Update
@@ -77,7 +77,7 @@
 
 
 class Member:
-    """`send(address, message)` is called for what goes out; `changed(Changed)` for what is seen anew."""
+    """`send(address, message)` is called for what goes out; `on_change(MemberChange)` for changes."""
 
     def __init__(
         self,
@@ -87,11 +87,11 @@
         seeds: list[tuple[str, int]],
         chance: Random,
         send,
-        changed=lambda change: None,
+        on_change=lambda change: None,
     ) -> None:
         self.me = Update(name, *address, life, 0, ALIVE)
-        self.seeds, self.chance, self.send, self.changed = seeds, chance, send, changed
-        self.known: dict[str, Update] = {}  # all others; bounded; the dead go after FORGET
+        self.seeds, self.chance, self.send, self.on_change = seeds, chance, send, on_change
+        self.peers: dict[str, Update] = {}  # all others; bounded; the dead go after FORGET
         self.suspicions: dict[str, Suspicion] = {}
         self.died: dict[str, int] = {}  # name -> when; a part of `known`
         self.riding: dict[str, list] = {}  # name -> [times told, update]; emptied as they are told
@@ -99,9 +99,9 @@
         self.open: dict[int, tuple] = {}  # nonce -> what was asked; emptied by answers and by time
         self.probe: list | None = None  # [name, nonce, asked others, since]
         self.others: tuple[str, ...] = ()  # alive or suspected, sorted
-        self.late = 0  # the local health multiplier
+        self.health_penalty = 0  # the local health multiplier
         self.last = self.next = self.back_next = self.page_next = None
-        self.lived = lambda life: None  # told when this process had to take a later life
+        self.on_new_life = lambda life: None  # told when this process had to take a later life
         self.false_suspicions = 0
 
     # ---- what others ask of it
@@ -111,13 +111,13 @@
         return self.me.name
 
     def address(self, name: str) -> tuple[str, int] | None:
-        return self.known[name].address if name in self.known else None
+        return self.peers[name].address if name in self.peers else None
 
     def live(self) -> tuple[str, ...]:
         """All that count as alive, this one too, sorted."""
         return self.others
 
-    def some(self, most: int, without: str = "") -> list[str]:
+    def random_members(self, most: int, without: str = "") -> list[str]:
         """Others that live, by chance."""
         if len(self.others) <= most + 2:
             return [
@@ -134,10 +134,10 @@
         """`known`: members told of at start, by whoever holds them already. One that had left lives anew."""
         if self.me.state == DEAD:
             self.me = self.me._replace(life=self.me.life + 1, incarnation=0, state=ALIVE)
-            self.lived(self.me.life)
+            self.on_new_life(self.me.life)
         self.last, self.next = now, now + self.chance.randrange(PERIOD)
         self.back_next, self.page_next = now, now + self.chance.randrange(REFRESH)
-        self.known = {update.name: update for update in known if update.name != self.name}
+        self.peers = {update.name: update for update in known if update.name != self.name}
         self.relist()
         self.tell(self.me)
 
@@ -146,8 +146,8 @@
     def leave(self) -> None:
         """It goes in order: said to a few, who tell the rest, so that nobody has to find out."""
         self.me = self.me._replace(incarnation=self.me.incarnation + 1, state=DEAD)
-        for name in self.some(RETOLD):
-            self.send(self.known[name].address, [PING, self.name, 0, name, [list(self.me)]])
+        for name in self.random_members(RETOLD):
+            self.send(self.peers[name].address, [PING, self.name, 0, name, [list(self.me)]])
 
     def tick(self, now: int) -> None:
         """Several times a period."""
@@ -158,26 +158,28 @@
         while self.open and now - next(iter(self.open.values()))[0] > OPEN_FOR:
             del self.open[next(iter(self.open))]
         for name, suspicion in list(self.suspicions.items()):
-            if now - suspicion.since >= self.patience(suspicion):
-                self.take(now, self.known[name]._replace(state=DEAD), self.name)
+            if now - suspicion.since >= self.suspicion_timeout(suspicion):
+                self.apply_update(now, self.peers[name]._replace(state=DEAD), self.name)
         self.probing(now)
         if now >= self.back_next:
             self.back_next = now + BACK
-            self.ask_back(now)
+            self.probe_dead_members(now)
         if now >= self.page_next and len(self.others) > 1:
             self.page_next = now + REFRESH + self.chance.randrange(REFRESH // 2)
             # one page from anywhere on: all of them from each would grow with the fleet
-            self.ask_page(now, self.known[self.some(1)[0]].address, self.chance.choice(self.others), False)
+            self.ask_page(
+                now, self.peers[self.random_members(1)[0]].address, self.chance.choice(self.others), False
+            )
 
     def was_late(self, now: int, gap: int) -> None:
         """It stood still itself: what it missed meanwhile is nobody's fault."""
-        self.late = min(LATE_MOST, self.late + 1)
+        self.health_penalty = min(LATE_MOST, self.health_penalty + 1)
         self.probe, self.next = None, now + PERIOD
         self.open.clear()
         for suspicion in self.suspicions.values():
             suspicion.since += gap
 
-    def patience(self, suspicion: Suspicion) -> int:
+    def suspicion_timeout(self, suspicion: Suspicion) -> int:
         least = LEAST * PERIOD * max(1.0, log10(max(1, len(self.others))))
         most, others = least * STRETCH, min(len(suspicion.witnesses) - 1, WITNESSES)
         if len(self.others) <= WITNESSES + 1:  # too few to wait for witnesses
@@ -185,27 +187,27 @@
         return int(max(least, most - (most - least) * log(others + 1) / log(WITNESSES + 1)))
 
     def probing(self, now: int) -> None:
-        slower = 1 + self.late
+        slower = 1 + self.health_penalty
         if self.probe is not None:
             name, nonce, asked, since = self.probe
             if not asked and now - since >= TIMEOUT * slower:
                 self.probe[2] = True
-                self.send(self.known[name].address, [PING, self.name, nonce, name, self.ride(name)])
-                for other in self.some(ASKED, name):
+                self.send(self.peers[name].address, [PING, self.name, nonce, name, self.ride(name)])
+                for other in self.random_members(ASKED, name):
                     self.send(
-                        self.known[other].address, [PING_REQUEST, self.name, nonce, list(self.known[name])]
+                        self.peers[other].address, [PING_REQUEST, self.name, nonce, list(self.peers[name])]
                     )
             if now - since >= PERIOD * slower:
                 self.probe = None
-                self.late = min(LATE_MOST, self.late + 1)
-                if name in self.known and self.known[name].state != DEAD:
-                    self.take(now, self.known[name]._replace(state=SUSPECT, by=self.name), self.name)
+                self.health_penalty = min(LATE_MOST, self.health_penalty + 1)
+                if name in self.peers and self.peers[name].state != DEAD:
+                    self.apply_update(now, self.peers[name]._replace(state=SUSPECT, by=self.name), self.name)
         if self.probe is None and now >= self.next:
             self.next = now + PERIOD * slower
             name = self.turn()
             if name is not None:
                 self.probe = [name, self.ask(now, (PING, name)), False, now]
-                self.send(self.known[name].address, [PING, self.name, self.probe[1], name, self.ride(name)])
+                self.send(self.peers[name].address, [PING, self.name, self.probe[1], name, self.ride(name)])
 
     def turn(self) -> str | None:
         while self.row or len(self.others) > 1:
@@ -213,23 +215,23 @@
                 self.row = [name for name in self.others if name != self.name]
                 self.chance.shuffle(self.row)
             name = self.row.pop()
-            if name in self.known and self.known[name].state != DEAD:
+            if name in self.peers and self.peers[name].state != DEAD:
                 return name
         return None
 
-    def ask_back(self, now: int) -> None:
+    def probe_dead_members(self, now: int) -> None:
         """Guards against halves of a healed cut that hold each other for dead for ever."""
         for name in [n for n, since in self.died.items() if now - since > FORGET]:
-            del self.died[name], self.known[name]
-        alive = {update.address for update in self.known.values() if update.state != DEAD}
-        asked = [(name, self.known[name].address) for name in self.died] + [
+            del self.died[name], self.peers[name]
+        alive = {update.address for update in self.peers.values() if update.state != DEAD}
+        asked = [(name, self.peers[name].address) for name in self.died] + [
             ("", seed) for seed in self.seeds if seed not in alive and seed != self.me.address
         ]
         if not asked:
             return
         name, address = self.chance.choice(asked)
         if name:
-            self.send(address, [PING, self.name, self.ask(now, (PING, name)), name, [list(self.known[name])]])
+            self.send(address, [PING, self.name, self.ask(now, (PING, name)), name, [list(self.peers[name])]])
         else:
             self.ask_page(now, address, "")
 
@@ -239,7 +241,7 @@
         self.send(address, [ASK_PAGE, self.name, nonce, list(self.me), after])
 
     def ask(self, now: int, what: tuple) -> int:
-        while len(self.open) >= OPEN_LEAST + len(self.known):
+        while len(self.open) >= OPEN_LEAST + len(self.peers):
             del self.open[next(iter(self.open))]
         nonce = self.chance.getrandbits(48)
         self.open[nonce] = now, *what
@@ -248,9 +250,9 @@
     # ---- messages
 
     def received(self, now: int, message: list, source: tuple[str, int]) -> None:
-        """A message that `wire.opened` has let through, if it is one of ours; others' content is nothing."""
+        """A message that `wire.decode` has let through, if it is one of ours; others' content is nothing."""
         try:
-            handle = self.HANDLES[message[0]]
+            handle = self.HANDLERS[message[0]]
         except IndexError:
             return
         handle(self, now, message, source)
@@ -259,7 +261,7 @@
         if len(message) != 5 or message[3] != self.name:
             return  # guards against a member that now lives at another's address
         self.told(now, message[4], message[1])
-        if message[1] not in self.known:  # whoever asks and is unknown here is asked who it is
+        if message[1] not in self.peers:  # whoever asks and is unknown here is asked who it is
             self.ask_page(now, source, "")
         self.send(source, [ACK, self.name, message[2], self.ride(message[1])])
 
@@ -272,7 +274,7 @@
             self.send(found[3], [ACK, self.name, found[4], []])
         elif found[1] == PING and self.probe is not None and self.probe[1] == message[2]:
             self.probe = None
-            self.late = max(0, self.late - 1)
+            self.health_penalty = max(0, self.health_penalty - 1)
 
     def ping_asked(self, now: int, message: list, source) -> None:
         target = read(message[3]) if len(message) == 4 else None
@@ -286,19 +288,19 @@
         """Somebody answers: this one's own link is not the cause alone."""
         if self.probe is not None and self.probe[1] == message[2] and self.probe[2] is True:
             self.probe[2] = "answered"
-            self.late = max(0, self.late - 1)
+            self.health_penalty = max(0, self.health_penalty - 1)
 
     def page_asked(self, now: int, message: list, source) -> None:
         who = read(message[3]) if len(message) == 5 else None
         if who is None or not isinstance(message[4], str):
             return
-        self.take(now, who, message[1])
-        rumour = [self.known[who.name]] if who.name in self.known else []  # it may have lived here before
+        self.apply_update(now, who, message[1])
+        rumour = [self.peers[who.name]] if who.name in self.peers else []  # it may have lived here before
         names = sorted(
-            [name for name in self.known if name > message[4]]
+            [name for name in self.peers if name > message[4]]
             + ([self.name] if self.name > message[4] else [])
         )
-        rest = [self.me if name == self.name else self.known[name] for name in names[:PAGE_SIZE]]
+        rest = [self.me if name == self.name else self.peers[name] for name in names[:PAGE_SIZE]]
         page = fitting(rumour + rest)
         last = page[-1][0] if len(page) - len(rumour) < len(names) else ""
         self.send(source, [PAGE, self.name, message[2], last, page])
@@ -311,7 +313,7 @@
         if message[3] and found[2]:
             self.ask_page(now, source, message[3])
 
-    HANDLES = (pinged, acked, ping_asked, nacked, page_asked, paged)
+    HANDLERS = (pinged, acked, ping_asked, nacked, page_asked, paged)
 
     # ---- what is told of members
 
@@ -319,12 +321,12 @@
         if isinstance(updates, list):
             for plain in updates[: PAGE_SIZE + 1]:
                 if (update := read(plain)) is not None:
-                    self.take(now, update, by)
+                    self.apply_update(now, update, by)
 
-    def take(self, now: int, update: Update, by: str) -> None:
+    def apply_update(self, now: int, update: Update, by: str) -> None:
         if update.name == self.name:
             return self.of_me(update)
-        old = self.known.get(update.name)
+        old = self.peers.get(update.name)
         if old is not None and update.rank == old.rank and update.state == SUSPECT:
             suspicion = self.suspicions.get(update.name)
             if (
@@ -338,11 +340,11 @@
             if update.state != ALIVE and old.state == ALIVE:
                 self.tell(old)  # guards against one that missed the refutation and suspects till death
             return
-        if old is None and len(self.known) >= MEMBERS_MOST:
+        if old is None and len(self.peers) >= MEMBERS_MOST:
             return
         if old is None and update.state == DEAD:
             return  # guards against a newcomer that fills up with those long gone
-        self.known[update.name] = update
+        self.peers[update.name] = update
         self.suspicions.pop(update.name, None)
         self.died.pop(update.name, None)
         if update.state == SUSPECT:
@@ -355,7 +357,7 @@
         before = None if old is None else old.state
         if (before is None or before == DEAD) != (update.state == DEAD):
             self.relist()
-        self.changed(Changed(update, before, by))
+        self.on_change(MemberChange(update, before, by))
 
     def of_me(self, update: Update) -> None:
         """Rumours of its own past, or that it is dead: it lives, and says so louder."""
@@ -366,9 +368,9 @@
             return
         if update.life > mine.life:  # guards against a process that a clock set back makes older
             self.me = mine._replace(life=update.life + 1, incarnation=0)
-            self.lived(self.me.life)
+            self.on_new_life(self.me.life)
         else:
-            self.late = min(LATE_MOST, self.late + (update.state == SUSPECT))
+            self.health_penalty = min(LATE_MOST, self.health_penalty + (update.state == SUSPECT))
             self.me = mine._replace(incarnation=update.incarnation + 1)
         self.tell(self.me)
 
@@ -378,7 +380,7 @@
     def ride(self, to: str) -> list:
         """What rides on a message: a suspect's own suspicion first, then what was told least often."""
         riding, most = self.riding, RETOLD * max(1, len(self.others)).bit_length()
-        first = [self.known[to]] if to in self.suspicions else []
+        first = [self.peers[to]] if to in self.suspicions else []
         chosen = (
             sorted(riding.values(), key=lambda entry: entry[0])[:RIDE]
             if len(riding) > RIDE
@@ -392,7 +394,7 @@
         return told
 
     def relist(self) -> None:
-        self.others = tuple(sorted([n for n, u in self.known.items() if u.state != DEAD] + [self.name]))
+        self.others = tuple(sorted([n for n, u in self.peers.items() if u.state != DEAD] + [self.name]))
 
 
 def fitting(updates: list[Update]) -> list[list]:
--- a/basalthook/membership/wire.py
+++ b/basalthook/membership/wire.py
@@ -11,36 +11,42 @@
 
 import msgpack
 
-VERSION, CHECK, MOST = 1, 8, 1400
+VERSION, CHECKSUM_BYTES, MAX_DATAGRAM = 1, 8, 1400
 # no more elements than a datagram has bytes
-DEPTH = {"max_array_len": MOST, "max_map_len": 0, "max_str_len": 512, "max_bin_len": 0, "max_ext_len": 0}
-SPOILT, OTHER_VERSION, TOO_LONG = "spoilt", "another version", "too long"
+UNPACK_LIMITS = {
+    "max_array_len": MAX_DATAGRAM,
+    "max_map_len": 0,
+    "max_str_len": 512,
+    "max_bin_len": 0,
+    "max_ext_len": 0,
+}
+CORRUPT, OTHER_VERSION, TOO_LONG = "spoilt", "another version", "too long"
 
 
-def check(key: bytes, body: bytes) -> bytes:
-    return blake2b(body, digest_size=CHECK, key=key).digest()
+def checksum(key: bytes, body: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_BYTES, key=key).digest()
 
 
-def sealed(key: bytes, message: list) -> bytes:
+def encode(key: bytes, message: list) -> bytes:
     body = msgpack.packb(message)
-    return bytes([VERSION]) + check(key, body) + body
+    return bytes([VERSION]) + checksum(key, body) + body
 
 
-def opened(key: bytes, data: bytes) -> list | str:
+def decode(key: bytes, data: bytes) -> list | str:
     """The message: a list that begins with its kind, who sent it and a nonce; or why there is none."""
-    if len(data) > MOST:
+    if len(data) > MAX_DATAGRAM:
         return TOO_LONG
-    if len(data) < 2 + CHECK:
-        return SPOILT
+    if len(data) < 2 + CHECKSUM_BYTES:
+        return CORRUPT
     if data[0] != VERSION:
         return OTHER_VERSION
-    body = data[1 + CHECK :]
-    if not compare_digest(data[1 : 1 + CHECK], check(key, body)):
-        return SPOILT
+    body = data[1 + CHECKSUM_BYTES :]
+    if not compare_digest(data[1 : 1 + CHECKSUM_BYTES], checksum(key, body)):
+        return CORRUPT
     try:
-        message = msgpack.unpackb(body, **DEPTH)
+        message = msgpack.unpackb(body, **UNPACK_LIMITS)
     except (ValueError, msgpack.UnpackException, RecursionError):
-        return SPOILT
+        return CORRUPT
     if (
         not isinstance(message, list)
         or len(message) < 3
@@ -49,5 +55,5 @@
         or not 0 < len(message[1]) <= 64
         or not isinstance(message[2], int)
     ):
-        return SPOILT
+        return CORRUPT
     return message
--- a/basalthook/program/fleetline.py
+++ b/basalthook/program/fleetline.py
@@ -152,27 +152,27 @@
         raise click.UsageError("explain: FILE is missing")
     try:
         told = fleet.read(path)
-    except fleet.BadFleet as fault:
+    except fleet.FleetFileError as fault:
         leave(str(fault))
-    longest, found = int(hard_limit * bounds.TICKS), []
+    longest, found = int(hard_limit * bounds.TICKS_PER_SECOND), []
     for row in told.limits:
         limit = bounds.Limit(row.name, row.kind, row.amount, row.burst, (), row.over, row.floor)
         own = (
             f"{int(limit.floor * limit.amount)} places a host over all proxies"
-            if limit.places
-            else f"{limit.own_rate(proxies)[0] * bounds.TICKS:g} a second each"
+            if limit.counts_places
+            else f"{limit.own_token_rate(proxies)[0] * bounds.TICKS_PER_SECOND:g} a second each"
         )
         found.append(
             {
                 "limit": limit.name,
                 "kind": limit.kind,
                 "amount": limit.amount,
-                "lent": limit.lent(),
+                "lent": limit.lendable(),
                 "own": own,
-                "over_most": limit.over_bound(),
-                "stale_s": limit.stale() / bounds.TICKS,
-                "unused_after_death_s": limit.unused_after_death(longest) / bounds.TICKS,
-                "paused_after_keeper_s": limit.paused_after_keeper(longest) / bounds.TICKS,
+                "over_most": limit.max_excess(),
+                "stale_s": limit.max_staleness() / bounds.TICKS_PER_SECOND,
+                "unused_after_death_s": limit.unused_after_death(longest) / bounds.TICKS_PER_SECOND,
+                "paused_after_keeper_s": limit.pause_after_leader_loss(longest) / bounds.TICKS_PER_SECOND,
             }
         )
     show(
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -99,7 +99,7 @@
                 told.fleet,
                 told.name,
                 told.agreed,
-                told.fleet.bounds(told.profiles),
+                told.fleet.to_limits(told.profiles),
                 told.longest_patience,
                 told.seed,
                 self.owner,
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -28,7 +28,7 @@
     console: tuple[str, int] | None = None  # the second address, for the staff
     inherited: str | None = None  # the descriptor of the clients' listening socket, if one is told
     folder: str | None = None  # where processes of this name meet; only with one of these two
-    fleet: object = None  # config.fleet.Told, where this process talks with others
+    fleet: object = None  # config.fleet.FleetSettings, where this process talks with others
 
 
 MEMORY, OWN, BODIES = 64, 28, 0.7  # MB, if none are told; of the program itself; part of the rest for bodies
@@ -55,7 +55,7 @@
         ) from None
     try:
         return fleet.read(path)
-    except fleet.BadFleet as fault:
+    except fleet.FleetFileError as fault:
         raise BadStart(str(fault)) from None
 
 
@@ -91,7 +91,7 @@
     if fleet is not None and not fleet.name and not NAME.fullmatch(name):
         raise ValueError(f"name: {name!r} is no name of a member; the fleet file may give another")
     if fleet is not None:
-        fleet.bounds(terms.profiles(setup))  # a limit of a profile that there is none of
+        fleet.to_limits(terms.profiles(setup))  # a limit of a profile that there is none of
     listed = told.get("known") or {"version": 0, "full": True, "servers": []}
     known = catalogue.listing(listed)
     if known is None:
--- a/basalthook/program/together.py
+++ b/basalthook/program/together.py
@@ -5,10 +5,10 @@
 
 from random import Random
 
-from ..fleet.counting import Counting
-from ..fleet.limits import KINDS, Limits
-from ..fleet.talk import Talk
-from ..fleet.verdicts import Verdicts
+from ..fleet.aggregation import FaultAggregator
+from ..fleet.gossip import Gossip
+from ..fleet.limits import MESSAGE_LENGTHS, FleetLimits
+from ..fleet.verdicts import HostVerdicts
 from ..membership.driver import Driver
 from ..membership.member import STATES
 from ..routing import clock as clocks
@@ -38,8 +38,8 @@
         wait: bool,
         say,
     ) -> None:
-        """`told`: config.fleet.Told; `limits`: fleet.bounds.Limit each, `longest`: hard limit in seconds;
-        `wait`: a process before this one may hold the address for a moment."""
+        """`told`: config.fleet.FleetSettings; `limits`: fleet.bounds.Limit each, `longest`: hard limit in
+        seconds; `wait`: a process before this one may hold the address for a moment."""
         self.told, self.owner, self.clock, self.timers, self.wait, self.log = (
             told,
             owner,
@@ -51,7 +51,7 @@
         lives = {kind: int(seconds * TICKS) for kind, seconds in told.lives.items()}
         life = clocks.wall_ns() // 1_000_000
         self.driver: Driver | None = None
-        self.talk = Talk(
+        self.talk = Gossip(
             told.name or name,
             told.address,
             life,
@@ -64,12 +64,12 @@
         )
         self.mind = self.limits = None
         if told.verdicts:
-            self.mind = Verdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.say)
-            self.mind.hurry = self.talk.rumours
-        owner.mind = self.mind or Counting(owner.proxy)
+            self.mind = HostVerdicts(owner.proxy, self.talk.table, agreed.zone, self.talk.live, self.say)
+            self.mind.on_urgent_fact = self.talk.send_rumours
+        owner.mind = self.mind or FaultAggregator(owner.proxy)
         if limits:
             hard_limit = int(longest * TICKS)
-            self.limits = Limits(
+            self.limits = FleetLimits(
                 owner.mind,
                 owner.proxy,
                 limits,
@@ -80,19 +80,19 @@
                 agreed.proxies,
                 hard_limit,
                 Random(seed ^ LIMITS),
-                self.talk.post,
+                self.talk.send_to,
                 self.talk.live,
                 clock.now(),
                 self.say,
             )
-            self.limits.wake = owner.post
-            self.talk.kinds, self.talk.others = KINDS, self.limits.received
+            self.limits.post_event = owner.post
+            self.talk.message_lengths, self.talk.on_message = MESSAGE_LENGTHS, self.limits.received
             owner.mind = self.limits
         self.timer = None
 
     def say(self, event: str, **fields) -> None:
         """With the host's id, where it is about one."""
-        numbers = self.mind.numbers if self.mind is not None else {}
+        numbers = self.mind.host_by_subject if self.mind is not None else {}
         place = self.owner.roster.places.get(numbers.get(fields.get("host", ""), -1))
         self.log(event, **fields, **({"id": place.id} if place else {}))
 
@@ -106,7 +106,7 @@
             self.timer = self.timers.set(int(AGAIN * TICKS), self.begin)
             return
         if self.limits is not None:
-            self.limits.come(self.clock.now())
+            self.limits.activate(self.clock.now())
         self.log("members", listen=list(self.driver.address), name=self.talk.name)
         self.talk.begin(self.clock.now())
         self.tick()
@@ -117,7 +117,7 @@
         self.talk.tick(now)
         if self.limits is not None:
             self.limits.tick(now)
-        judged = self.mind.look(now, self.owner.seen(now)) if self.mind is not None else None
+        judged = self.mind.evaluate(now, self.owner.seen(now)) if self.mind is not None else None
         if judged is not None:
             self.owner.post(judged)
 
@@ -157,7 +157,7 @@
                 if u.name in member.suspicions
                 else [],
             }
-            for u in (member.me, *member.known.values())
+            for u in (member.me, *member.peers.values())
         ]
         return sorted(rows, key=lambda row: row["name"])
 
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -1,7 +1,7 @@
 """Words, units and ids of the bench's wire, turned into the events and effects of the decisions."""
 
 from .. import terms
-from ..fleet.counting import Counting
+from ..fleet.aggregation import FaultAggregator
 from ..policy import interface as i
 from ..policy.decide import Proxy
 from ..protocol import news
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.agreement(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), FaultAggregator(self.proxy))
         self.profiles = terms.profiles(setup)
         self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
         self.addresses: list[str] = []
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -4,7 +4,7 @@
 import itertools
 import json
 
-from basalthook.fleet.counting import Counting
+from basalthook.fleet.aggregation import FaultAggregator
 from basalthook.policy import interface as i
 from basalthook.policy.decide import Proxy
 from basalthook.recovery.following import Asking, Following
@@ -52,7 +52,7 @@
         self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
         self.hosts = {h.line.host: h for h in hosts}
         self.proxy = Proxy(i.Agreement(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), FaultAggregator(self.proxy))
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
         self.tell(i.HostsListed(tuple(h.line for h in hosts), True, True))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,11 +10,21 @@
 from hypothesis import strategies as st
 
 from basalthook.config import fleet as fleet_file
-from basalthook.fleet.bounds import BOUNDED, CLOCKS, HOST, LEASE, NEVER, RATE, TICKS, Limit, wrong
-from basalthook.fleet.holder import Holder
-from basalthook.fleet.keeper import Keeper, Row
-from basalthook.fleet.limits import NEED, PART, UNITS
-from basalthook.fleet.seat import Seat, shorter
+from basalthook.fleet.allocator import LeaseAllocator, LeaseRequest
+from basalthook.fleet.bounds import (
+    BOUNDED,
+    HOST,
+    LEASE_TICKS,
+    MAX_CLOCK_DRIFT,
+    NEVER,
+    RATE,
+    TICKS_PER_SECOND,
+    Limit,
+    invalid_reason,
+)
+from basalthook.fleet.election import LeaderElection, shorten_for_drift
+from basalthook.fleet.lease_holder import LeaseHolder
+from basalthook.fleet.limits import LEASE_GRANT, LEASE_REQUEST, MAX_UNITS
 from basalthook.lab import overrun
 from basalthook.lab.explore import Explorer
 from basalthook.lab.leases import HARD_LIMIT, Member, Run
@@ -32,8 +42,8 @@
 
     def __init__(self, run, n):
         super().__init__(run, n)
-        if self.limits.keeper:
-            self.limits.keeper.lasts = 0
+        if self.limits.allocator:
+            self.limits.allocator.grant_lifetime = 0
 
 
 class AddsTwice(Member):
@@ -41,13 +51,13 @@
 
     def __init__(self, run, n):
         super().__init__(run, n)
-        holder, answered = self.limits.holder, self.limits.holder.answered
+        holder, accept_grant = self.limits.holder, self.limits.holder.accept_grant
 
         def again(now, *given):
-            holder.taken = {}
-            return answered(now, *given)
+            holder.granted_tokens = {}
+            return accept_grant(now, *given)
 
-        holder.answered = again
+        holder.accept_grant = again
 
 
 class SaysFirst(Member):
@@ -55,11 +65,11 @@
 
     def __init__(self, run, n):
         super().__init__(run, n)
-        give = self.limits.give
-        self.limits.give = lambda now: run.later(30, give, now)
+        give = self.limits.publish_allowance
+        self.limits.publish_allowance = lambda now: run.later(30, give, now)
 
 
-class Bold(Seat):
+class Bold(LeaderElection):
     """A voter that has forgotten what it voted, and votes."""
 
     def __init__(self, *told):
@@ -106,12 +116,12 @@
         self.assertIsNotNone(Explorer(steps=1, claims=1, restarts=1, make=Bold).run()[1])
 
     def test_a_holder_without_the_clocks_margin_is_found(self):
-        with unittest.mock.patch("basalthook.fleet.seat.shorter", lambda ticks, loss: ticks):
+        with unittest.mock.patch("basalthook.fleet.election.shorten_for_drift", lambda ticks, loss: ticks):
             self.assertIsNotNone(Explorer(steps=3, claims=1, restarts=0).run()[1])
 
     @given(st.integers(1, 10**6), st.floats(0, 0.3))
     def test_what_a_slow_holder_counts_is_over_before_a_fast_keeper_has_counted(self, ticks, loss):
-        self.assertLessEqual(shorter(ticks, loss) / (1 - loss), ticks / (1 + loss) * (1 + 1e-12))
+        self.assertLessEqual(shorten_for_drift(ticks, loss) / (1 - loss), ticks / (1 + loss) * (1 + 1e-12))
 
 
 class Many(unittest.TestCase):
@@ -130,42 +140,44 @@
     def test_all_that_is_in_use_is_named_and_an_ask_and_its_answer_fit_a_datagram(self):
         now = self.run.clock(1)
         for host in range(120):
-            self.limits.peaks[self.limits.unit(host)] = 1, now - host
+            self.limits.peak_use[self.limits.host_unit(host)] = 1, now - host
         for host in range(100, 130):
             self.out(host)
         self.limits.tick(now + 100)
-        (need,) = [message for message in self.asked if message[0] == NEED]
+        (need,) = [message for message in self.asked if message[0] == LEASE_REQUEST]
         marks = {row[1] for row in need[5] if row[1]}
-        self.assertEqual(len(marks), UNITS)
+        self.assertEqual(len(marks), MAX_UNITS)
         self.assertLessEqual({1000 + host for host in range(100, 130)}, marks)
         rows = need[5]
-        part = [PART, "p0", 1, 2**40, 9, [[*row[:2], 4] for row in rows], [row[:2] for row in rows]]
-        self.assertLess(max(len(wire.sealed(b"k" * 16, message)) for message in (need, part)), wire.MOST)
+        part = [LEASE_GRANT, "p0", 1, 2**40, 9, [[*row[:2], 4] for row in rows], [row[:2] for row in rows]]
+        self.assertLess(
+            max(len(wire.encode(b"k" * 16, message)) for message in (need, part)), wire.MAX_DATAGRAM
+        )
 
     def test_a_place_in_use_at_a_host_that_left_the_list_is_not_given_up(self):
         self.out(7)
         self.proxy.ready = self.proxy.ready[:5]
-        self.limits.known()
-        self.assertEqual(self.limits.in_use(self.run.clock(1)), {(self.limits.hosts, 1007): 1})
+        self.limits.refresh_hosts()
+        self.assertEqual(self.limits.places_in_use(self.run.clock(1)), {(self.limits.host_limit, 1007): 1})
 
 
 class Lending(unittest.TestCase):
     def setUp(self):
-        self.keeper = Keeper({limit.id: limit for limit in (PLACES, TOKENS)}, 1_000)
-        self.keeper.begin(0)
-        self.now = self.keeper.lasts
+        self.allocator = LeaseAllocator({limit.id: limit for limit in (PLACES, TOKENS)}, 1_000)
+        self.allocator.start_term(0)
+        self.now = self.allocator.grant_lifetime
 
     def ask(self, who, sequence, *rows, got=0):
         """{who: granted} of all that are answered."""
-        told = self.keeper.asked(self.now, (who, 1), sequence, got, [Row(*row) for row in rows])
+        told = self.allocator.request(self.now, (who, 1), sequence, got, [LeaseRequest(*row) for row in rows])
         return {name: granted for (name, _), _, _, granted, _ in told}
 
     def test_a_new_keeper_lends_nothing_beyond_what_is_held_until_that_is_over(self):
         self.now = 10
         self.assertEqual(self.ask("a", 1, (UNIT, 2, 3)), {"a": {UNIT: 2}})
         self.assertEqual(self.ask("b", 1, (UNIT, 0, 1)), {"b": {UNIT: 0}})
-        self.now = self.keeper.lasts
-        told = self.keeper.tick(self.now)
+        self.now = self.allocator.grant_lifetime
+        told = self.allocator.tick(self.now)
         self.assertEqual([(who[0], granted[UNIT]) for who, _, _, granted, _ in told], [("a", 3)])
 
     def test_who_waits_first_gets_first_what_another_gives_back(self):
@@ -181,14 +193,14 @@
         self.assertEqual(self.ask("b", 1, (UNIT, 0, 1)), {"b": {UNIT: 0}})
 
     def test_tokens_of_a_lost_answer_come_back_and_taken_ones_do_not(self):
-        self.now += TICKS
+        self.now += TICKS_PER_SECOND
         self.assertEqual(self.ask("a", 1, (FLOW, 0, 10)), {"a": {FLOW: 10}})
-        before = self.keeper.free(self.now, FLOW)
+        before = self.allocator.free(self.now, FLOW)
         self.ask("a", 2, (FLOW, 0, 0), got=0)
-        self.assertEqual(self.keeper.free(self.now, FLOW), before + 10)
+        self.assertEqual(self.allocator.free(self.now, FLOW), before + 10)
         self.ask("a", 3, (FLOW, 0, 8))
         self.ask("a", 4, (FLOW, 8, 0), got=3)
-        self.assertEqual(self.keeper.free(self.now, FLOW), before + 2)
+        self.assertEqual(self.allocator.free(self.now, FLOW), before + 2)
 
     def test_asks_that_come_late_or_twice_are_nothing(self):
         self.ask("a", 2, (UNIT, 0, 1))
@@ -196,24 +208,24 @@
         self.assertEqual(self.ask("a", 1, (UNIT, 0, 3)), {})
 
     def test_a_holder_takes_no_answer_to_an_earlier_ask(self):
-        holder = Holder(0)
-        first, _, _ = holder.ask(0, {UNIT: 2}, {}, {})
-        holder.ask(2_000, {UNIT: 1}, {}, {})
-        self.assertFalse(holder.answered(2_010, first, 1, {UNIT: 2}, set(), lambda unit: False))
-        self.assertEqual(holder.places(2_010, UNIT), 0)
+        holder = LeaseHolder(0)
+        first, _, _ = holder.request(0, {UNIT: 2}, {}, {})
+        holder.request(2_000, {UNIT: 1}, {}, {})
+        self.assertFalse(holder.accept_grant(2_010, first, 1, {UNIT: 2}, set(), lambda unit: False))
+        self.assertEqual(holder.usable_places(2_010, UNIT), 0)
 
     def test_a_lease_counts_from_the_asking_however_late_the_answer_is(self):
-        holder = Holder(0)
-        sequence, _, _ = holder.ask(0, {UNIT: 2}, {}, {})
-        holder.answered(1_900, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
-        self.assertEqual(holder.until, shorter(LEASE, CLOCKS))
+        holder = LeaseHolder(0)
+        sequence, _, _ = holder.request(0, {UNIT: 2}, {}, {})
+        holder.accept_grant(1_900, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
+        self.assertEqual(holder.places_until, shorten_for_drift(LEASE_TICKS, MAX_CLOCK_DRIFT))
 
     def test_hops_out_past_a_lease_are_told_as_held_and_no_more_begins(self):
-        holder = Holder(0)
-        sequence, _, _ = holder.ask(0, {UNIT: 2}, {}, {})
-        holder.answered(10, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
-        _, _, rows = holder.ask(90_000, {}, {}, {UNIT: 1})
-        self.assertEqual((rows, holder.places(90_000, UNIT)), ([Row(UNIT, 1, 1)], 0))
+        holder = LeaseHolder(0)
+        sequence, _, _ = holder.request(0, {UNIT: 2}, {}, {})
+        holder.accept_grant(10, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
+        _, _, rows = holder.request(90_000, {}, {}, {UNIT: 1})
+        self.assertEqual((rows, holder.usable_places(90_000, UNIT)), ([LeaseRequest(UNIT, 1, 1)], 0))
 
 
 class Decisions(unittest.TestCase):
@@ -256,12 +268,12 @@
         self.assertGreater(overrun.beyond(sorted(times + times[100:200]), 40, 20), 0.2)
 
     def test_bounds_are_formulas_of_the_settings(self):
-        self.assertEqual(Limit("r", RATE, 40, 60, floor=0.25).over_bound(), 0.0)
-        self.assertEqual(Limit("r", RATE, 40, 60, over=BOUNDED, floor=0.25).over_bound(), 0.25)
-        self.assertEqual(Limit("r", RATE, 0, 0, over=BOUNDED, floor=0.25).over_bound(), 0.25)  # was 0 / 0
+        self.assertEqual(Limit("r", RATE, 40, 60, floor=0.25).max_excess(), 0.0)
+        self.assertEqual(Limit("r", RATE, 40, 60, over=BOUNDED, floor=0.25).max_excess(), 0.25)
+        self.assertEqual(Limit("r", RATE, 0, 0, over=BOUNDED, floor=0.25).max_excess(), 0.25)  # was 0 / 0
         limit = Limit("p", HOST, 8, floor=0.5)
-        own = sum(limit.own_places(99, position, 5) for position in range(5))
-        self.assertEqual((own, limit.lent()), (4, 4))
+        own = sum(limit.own_places_at(99, position, 5) for position in range(5))
+        self.assertEqual((own, limit.lendable()), (4, 4))
 
     def test_what_no_limit_can_mean_is_said(self):
         for limit in (
@@ -270,7 +282,7 @@
             Limit("r", RATE, 40, 30),
             Limit("r", RATE, -1, over=NEVER),
         ):
-            self.assertIn("Expected", wrong(limit))
+            self.assertIn("Expected", invalid_reason(limit))
 
     def test_a_fleet_file_is_refused_with_the_place(self):
         head = 'listen = "127.0.0.1:1"\nseeds = []\nkey_file = "k"\nshares = ["limits"]\n'
@@ -284,6 +296,6 @@
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder, "fleet.toml")
                 path.write_text(text)
-                with self.assertRaises(fleet_file.BadFleet) as found:
+                with self.assertRaises(fleet_file.FleetFileError) as found:
                     fleet_file.read(str(path))
             self.assertIn(f"`{where}`", str(found.exception))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,7 @@
 
 from basalthook.config import fleet as fleet_file
 from basalthook.fleet.facts import Fact
-from basalthook.fleet.talk import ANSWER, ASK
+from basalthook.fleet.gossip import FACTS, FETCH
 from basalthook.fleet.verdicts import OUT
 from basalthook.lab import loopback, processes, scenario
 from basalthook.lab.links import Links
@@ -145,17 +145,17 @@
         relays = Relays(2, Links(1, 2, 0), lambda: now, 1)
         for now, age in ((0.0, 100), (1.0, 10_100), (2.0, 15_000)):
             fact = Fact("p0", 1, "host", "x", 1, (), age)
-            relays.read(0, wire.sealed(b"k" * 16, [ANSWER, "p0", 7, [list(fact)]]), now)
+            relays.read(0, wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), now)
             self.assertEqual(len(relays.younger), int(now == 2.0))
 
     def test_a_fact_told_younger_than_at_its_question_is_seen_and_a_slow_answer_to_one_is_not(self):
         relays = Relays(2, Links(1, 2, 0), float, 1)
         born = 0.0
         for nonce, asked_at, age, found in ((1, 0.5, 0.5, 0), (2, 1.0, 1.0, 0), (3, 1.5, 1.4, 1)):
-            relays.read(1, wire.sealed(b"k" * 16, [ASK, "p1", nonce, []]), asked_at)
+            relays.read(1, wire.encode(b"k" * 16, [FETCH, "p1", nonce, []]), asked_at)
             fact = Fact("p0", 1, "host", "x", 1, (), int(age * 10_000))
             answered_at = asked_at if nonce == 1 else asked_at + 4.0
-            relays.read(0, wire.sealed(b"k" * 16, [ANSWER, "p0", nonce, [list(fact)]]), answered_at)
+            relays.read(0, wire.encode(b"k" * 16, [FACTS, "p0", nonce, [list(fact)]]), answered_at)
             self.assertEqual(len(relays.younger), found)
         self.assertEqual(list(relays.first.values()), [born])
 
@@ -172,7 +172,7 @@
                 for late in (0.0, 0.15, 0.15):
                     age = int((time.monotonic() - born) * 10_000)
                     fact = Fact("p0", 1, "host", "x", 1, (), age)
-                    member.sendto(wire.sealed(b"k" * 16, [ANSWER, "p0", 7, [list(fact)]]), relays.told[1])
+                    member.sendto(wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), relays.told[1])
                     time.sleep(late)  # blocks the loop that reads it
                     await asyncio.sleep(0.02)
         finally:
@@ -219,18 +219,18 @@
             ({"lives": "[lives]\nhost = 20.0\n"}, "$.lives.trial"),
             ({"lives": "[lives]\nhost = 0\n"}, "$.lives.host"),
         ):
-            with self.assertRaisesRegex(fleet_file.BadFleet, "fleet.toml") as caught:
+            with self.assertRaisesRegex(fleet_file.FleetFileError, "fleet.toml") as caught:
                 fleet_file.read(self.write(**changes))
             self.assertIn(place, str(caught.exception))
         for key, mode in ((b"short", 0o600), (b"x" * 80, 0o600), (b"0123456789abcdef", 0o644)):
             self.key(key, mode)
-            with self.assertRaisesRegex(fleet_file.BadFleet, "key_file"):
+            with self.assertRaisesRegex(fleet_file.FleetFileError, "key_file"):
                 fleet_file.read(self.write())
 
     def test_a_plain_serve_loads_nothing_of_it_and_a_deployment_that_forbids_talk_refuses(self):
         code = (
             "import sys; from basalthook.program import commands, service; "
-            "print([n for n in sys.modules if n.split('.')[-1] in ('talk', 'member', 'msgspec', "
+            "print([n for n in sys.modules if n.split('.')[-1] in ('gossip', 'member', 'msgspec', "
             "'msgpack', 'xxhash', 'together', 'driver')])"
         )
         self.assertEqual(subprocess.check_output([sys.executable, "-c", code], text=True).strip(), "[]")
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -9,9 +9,20 @@
 
 from basalthook import terms
 from basalthook.fleet import verdicts
-from basalthook.fleet.evidence import Word, plain, read
-from basalthook.fleet.facts import Fact, Table
-from basalthook.fleet.verdicts import HOST, LIVES, MOST_OUT, OUT, TRIAL, Verdicts, judge, lone, ranks, subject
+from basalthook.fleet.evidence import HostReport, parse_report, report_value
+from basalthook.fleet.facts import Fact, FactTable
+from basalthook.fleet.verdicts import (
+    FACT_LIFETIMES,
+    HOST_FACT,
+    MAX_OUT_SHARE,
+    OUT,
+    TRIAL_FACT,
+    HostVerdicts,
+    assess,
+    members_with_bad_link,
+    subject_of,
+    trial_order,
+)
 from basalthook.lab import decisions, scenario
 from basalthook.lab.start import settings
 from basalthook.policy import interface as i
@@ -148,46 +159,48 @@
             made = [reader(h.fact, h.born) for h in self.by_subject.get((kind, name), {}).values()]
             return [word for word in made if word is not None]
 
-        with patch.object(Table, "made", never), patch.object(Table, "expire", lambda *_: None):
+        with patch.object(FactTable, "parsed", never), patch.object(FactTable, "expire", lambda *_: None):
             _, result, _ = play(fault("silent", hosts=[0], lasts=10))
         self.assertGreater(result.talk["over_age"], 0)
 
 
 def word(who, late_sent=0, heard=0, lost=0, errors=0, answers=0, zone="a"):
-    return Word(who, zone, int(late_sent > 0), late_sent, lost, errors, answers, heard, 1_000)
+    return HostReport(who, zone, int(late_sent > 0), late_sent, lost, errors, answers, heard, 1_000)
 
 
 class Judgement(unittest.TestCase):
     def test_silence_takes_two_witnesses_and_nobody_who_heard_it_since(self):
         late = [word("a", 500), word("b", 600)]
-        self.assertEqual(judge(late, 0.0, 9)[0], verdicts.SILENT)
-        self.assertEqual(judge(late[:1], 0.0, 9)[0], "")
-        self.assertEqual(judge([*late, word("c", heard=550)], 0.0, 9)[0], "")
+        self.assertEqual(assess(late, 0.0, 9)[0], verdicts.SILENT)
+        self.assertEqual(assess(late[:1], 0.0, 9)[0], "")
+        self.assertEqual(assess([*late, word("c", heard=550)], 0.0, 9)[0], "")
 
     def test_failing_takes_three_witnesses_a_share_and_more_than_most_hosts_have(self):
         bad = [word(who, errors=2, answers=1) for who in "abc"]
-        self.assertEqual(judge(bad, 0.0, 9)[0], verdicts.FAILING)
-        self.assertEqual(judge(bad, 0.4, 9)[0], "")  # so do most hosts
-        self.assertEqual(judge(bad[:2], 0.0, 9)[0], "")
-        self.assertEqual(judge([*bad, word("d", answers=30)], 0.0, 9)[0], "")
+        self.assertEqual(assess(bad, 0.0, 9)[0], verdicts.FAILING)
+        self.assertEqual(assess(bad, 0.4, 9)[0], "")  # so do most hosts
+        self.assertEqual(assess(bad[:2], 0.0, 9)[0], "")
+        self.assertEqual(assess([*bad, word("d", answers=30)], 0.0, 9)[0], "")
 
     def test_who_blames_many_hosts_alone_counts_for_nobody(self):
-        self.assertEqual(lone({"x": {"a"}, "y": {"a"}, "z": {"a"}, "u": {"b", "c"}}), {"a"})
-        self.assertEqual(lone({"x": {"a", "b"}, "y": {"a", "b"}, "z": {"a", "b"}}), set())
+        self.assertEqual(members_with_bad_link({"x": {"a"}, "y": {"a"}, "z": {"a"}, "u": {"b", "c"}}), {"a"})
+        self.assertEqual(members_with_bad_link({"x": {"a", "b"}, "y": {"a", "b"}, "z": {"a", "b"}}), set())
 
     def test_all_draw_alike_who_tries_and_everyone_has_a_turn(self):
         members = tuple(f"p{n}" for n in range(20))
-        firsts = Counter(min(ranks(members, round_), key=ranks(members, round_).get) for round_ in range(400))
+        firsts = Counter(
+            min(trial_order(members, round_), key=trial_order(members, round_).get) for round_ in range(400)
+        )
         self.assertEqual(len(firsts), 20)
         self.assertLess(max(firsts.values()), 60)
 
     def test_a_word_there_and_back_and_absurd_ones_are_nothing(self):
         told = word("a", 500, 300, 1, 2, 3)
-        fact = Fact("a", 1, HOST, "x", 1, plain("a", told), 0)
-        self.assertEqual(read(fact, 1_000)._replace(mark=0), told)
+        fact = Fact("a", 1, HOST_FACT, "x", 1, report_value("a", told), 0)
+        self.assertEqual(parse_report(fact, 1_000)._replace(fact_id=0), told)
         for value in ((), ("a",) * 7, ("a", -1, 0, 0, 0, 0, 0), ("a", True, 0, 0, 0, 0, 0), (0,) * 7):
-            self.assertIsNone(read(fact._replace(value=value), 1_000), value)
-            self.assertIsNone(verdicts.read_trial(fact._replace(value=value), 1_000), value)
+            self.assertIsNone(parse_report(fact._replace(value=value), 1_000), value)
+            self.assertIsNone(verdicts.parse_trial(fact._replace(value=value), 1_000), value)
 
 
 class Liars(unittest.TestCase):
@@ -203,20 +216,32 @@
                 True,
             ),
         )
-        self.table, self.members = Table("me", 1, LIVES), tuple(["me", *(f"p{n}" for n in range(30))])
-        self.mind = Verdicts(self.proxy, self.table, "a", lambda: self.members)
+        self.table, self.members = (
+            FactTable("me", 1, FACT_LIFETIMES),
+            tuple(["me", *(f"p{n}" for n in range(30))]),
+        )
+        self.mind = HostVerdicts(self.proxy, self.table, "a", lambda: self.members)
 
     def test_every_member_tells_that_all_hosts_are_out_and_most_stay_open(self):
         now = 1_000_000
         for n in range(30):
             for server in self.proxy.servers.values():
                 blame = word(f"p{n}", now - 100, lost=9)._replace(told=now)
-                self.table.take(
-                    now, Fact(f"p{n}", 1, HOST, subject(server.line), server.id + 1, plain("a", blame), 0)
+                self.table.merge(
+                    now,
+                    Fact(
+                        f"p{n}",
+                        1,
+                        HOST_FACT,
+                        subject_of(server.line),
+                        server.id + 1,
+                        report_value("a", blame),
+                        0,
+                    ),
                 )
-        judged = self.mind.look(now, now)
+        judged = self.mind.evaluate(now, now)
         shut = {host for host, until, _ in judged.hosts if until > now}
-        self.assertEqual(len(shut), MOST_OUT * 20)
+        self.assertEqual(len(shut), MAX_OUT_SHARE * 20)
         self.proxy.handle(now, judged)
         sent = {
             effect.host
@@ -227,8 +252,8 @@
         self.assertFalse(sent & shut)
         self.assertGreater(len(sent), 8)
         # and it lapses by itself where nobody speaks any more: with the evidence, and with the lease
-        later = now + LIVES[TRIAL] + LIVES[HOST]
-        self.mind.look(later, later)
+        later = now + FACT_LIFETIMES[TRIAL_FACT] + FACT_LIFETIMES[HOST_FACT]
+        self.mind.evaluate(later, later)
         self.assertFalse(any(s.state == OUT for s in self.mind.states.values()))
         self.assertFalse(any(later < server.whole for server in self.proxy.servers.values()))
 
