--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -1,8 +1,8 @@
-"""What this proxy saw at each host lately, as words that others can weigh; pure.
+"""Recent outcomes at each host as seen by this proxy, and the reports made of them. No I/O.
 
-A word counts hops, it concludes nothing: faults by kind, what is unanswered and since when, what was
-answered. It is told where this proxy met a fault, or where others did and this one can say how the host was
-to it.
+A report counts attempts and draws no conclusion: faults by kind, attempts still unanswered and since when,
+and answers. A proxy reports on a host where it met a fault itself, or where others did and its counts help to
+judge the host. All times are ticks of 0.1 ms.
 """
 
 from collections import deque
@@ -10,11 +10,11 @@
 
 from ..policy import interface as i
 
-WINDOW = 30_000  # ticks that an outcome counts
-HOPS_MOST = 256  # outcomes kept of a host
-LONG_AGO = 10**7
+OUTCOME_WINDOW = 30_000  # ticks for which an outcome counts
+MAX_OUTCOMES = 256  # kept per host
+MAX_AGE = 10**7  # ticks; greater ages are published as this
 ANSWERED, ERRED, LOST = "answered", "erred", "lost"
-SORTS = {
+OUTCOME_CATEGORIES = {
     i.COMMITTED: ANSWERED,
     i.DECLINED: ANSWERED,
     i.ERROR: ERRED,
@@ -22,22 +22,22 @@
     i.DROPPED: ERRED,
     i.UNREACHABLE: ERRED,
     i.TIMED_OUT: LOST,
-}  # of others nothing follows
+}  # other outcomes say nothing about the host
 
 
 class HostReport(NamedTuple):
-    """One proxy's word on one host; moments are ticks on the reader's clock."""
+    """One proxy's report on one host; times are on the reader's clock."""
 
-    who: str
+    author: str
     zone: str
-    late: int  # hops out for longer than is usual there, with nothing heard since
-    late_sent: int  # when the latest of these was sent
-    lost: int  # hops unanswered to their end, within the window
+    late: int  # attempts open for longer than usual at this host, with no answer from it since
+    late_sent_at: int  # start of the latest of these
+    lost: int  # attempts that timed out, within OUTCOME_WINDOW
     errors: int
     answers: int
-    heard: int  # when the host was last heard at all
-    told: int  # when this was told
-    fact_id: int = 0  # of the fact it came as
+    heard_at: int  # last answer of any kind from the host
+    published_at: int
+    fact_id: int = 0  # of the fact that carried it
 
     @property
     def faults(self) -> int:
@@ -45,83 +45,99 @@
 
     @property
     def blames(self) -> bool:
-        return self.faults > 0 or self.late > 0 and self.late_sent > self.heard
+        return self.faults > 0 or self.late > 0 and self.late_sent_at > self.heard_at
 
 
-def report_value(zone: str, word: HostReport) -> tuple:
-    """As a fact's value; moments as ages."""
-    ago = min(LONG_AGO, max(0, word.told - word.late_sent)), min(LONG_AGO, max(0, word.told - word.heard))
-    return (zone, word.late, ago[0], word.lost, word.errors, word.answers, ago[1])
+def report_value(zone: str, report: HostReport) -> tuple:
+    """Encodes a report as the value of a fact; times become ages."""
+    ages = (
+        min(MAX_AGE, max(0, report.published_at - report.late_sent_at)),
+        min(MAX_AGE, max(0, report.published_at - report.heard_at)),
+    )
+    return (zone, report.late, ages[0], report.lost, report.errors, report.answers, ages[1])
 
 
-def parse_report(fact, told: int) -> HostReport | None:
-    """A fact back, told at that moment; None where its value is none."""
+def parse_report(fact, published_at: int) -> HostReport | None:
+    """Decodes a fact published at this time; None if its value is malformed."""
     value = fact.value
     if (
         len(value) != 7
         or not isinstance(value[0], str)
-        or not all(isinstance(n, int) and not isinstance(n, bool) and 0 <= n <= LONG_AGO for n in value[1:])
+        or not all(isinstance(n, int) and not isinstance(n, bool) and 0 <= n <= MAX_AGE for n in value[1:])
     ):
         return None
     zone, late, late_ago, lost, errors, answers, heard_ago = value
     return HostReport(
-        fact.author, zone, late, told - late_ago, lost, errors, answers, told - heard_ago, told, fact.fact_id
+        fact.author,
+        zone,
+        late,
+        published_at - late_ago,
+        lost,
+        errors,
+        answers,
+        published_at - heard_ago,
+        published_at,
+        fact.fact_id,
     )
 
 
 class HostObservations:
-    """`ended` for every hop's end; hosts by the decisions' numbers."""
+    """Collects outcomes (`record`) and makes reports (`report`); hosts by the decision core's numbers."""
 
-    def __init__(self, who: str, zone: str) -> None:
-        self.who, self.zone = who, zone
-        self.outcomes: dict[int, deque] = {}  # host -> (when, sort); emptied by time and by the bound
-        self.since: dict[int, int] = {}  # host -> hops sent before that tell nothing any more
-        self.faulty: set[int] = set()  # hosts with a fault among their outcomes
+    def __init__(self, author: str, zone: str) -> None:
+        self.author, self.zone = author, zone
+        self.outcomes: dict[int, deque] = {}  # host -> (time, category); bounded and pruned by age
+        self.ignore_before: dict[int, int] = {}  # host -> attempts started earlier are ignored
+        self.hosts_with_faults: set[int] = set()  # may include hosts whose faults have aged out
 
-    def ended(self, now: int, event: i.HopEnded) -> None:
-        sort = SORTS.get(event.outcome)
-        if sort is None or now - event.elapsed < self.since.get(event.host, 0):
+    def record(self, now: int, event: i.HopEnded) -> None:
+        category = OUTCOME_CATEGORIES.get(event.outcome)
+        if category is None or now - event.elapsed < self.ignore_before.get(event.host, 0):
             return
         outcomes = self.outcomes.get(event.host)
         if outcomes is None:
-            outcomes = self.outcomes[event.host] = deque(maxlen=HOPS_MOST)
-        outcomes.append((now, sort))
-        if sort != ANSWERED:
-            self.faulty.add(event.host)
+            outcomes = self.outcomes[event.host] = deque(maxlen=MAX_OUTCOMES)
+        outcomes.append((now, category))
+        if category != ANSWERED:
+            self.hosts_with_faults.add(event.host)
 
-    def anew(self, host: int, now: int) -> None:
-        """The host has another chance: what was met before says nothing of it."""
+    def reset(self, host: int, now: int) -> None:
+        """Discards what is known of a host that returns: earlier outcomes say nothing about it now."""
         self.outcomes.pop(host, None)
-        self.since[host] = now
+        self.ignore_before[host] = now
 
-    def blamed(self, seen: int, proxy) -> set[int]:
-        """Hosts of which this proxy has a fault to tell."""
+    def faulty_hosts(self, received_until: int, proxy) -> set[int]:
+        """Returns the hosts with a fault or a late attempt at this proxy."""
         late = {
             server.id
             for server, sent_at, late_after in proxy.flying.values()
-            if seen - sent_at >= late_after and server.heard <= sent_at
+            if received_until - sent_at >= late_after and server.heard <= sent_at
         }
-        return late | self.faulty
+        return late | self.hosts_with_faults
+
+    def report(self, now: int, received_until: int, proxy, host: int) -> HostReport:
+        """Makes the report on one host.
 
-    def word(self, now: int, seen: int, proxy, host: int) -> HostReport:
-        """`seen`: up to then all that came in is told; a silence since may be that of this process."""
+        `received_until`: everything received up to then has been handled. A silence since then may be a pause
+        of this process itself.
+        """
         server, outcomes = proxy.servers[host], self.outcomes.get(host)
-        while outcomes and outcomes[0][0] <= now - WINDOW:
+        while outcomes and outcomes[0][0] <= now - OUTCOME_WINDOW:
             outcomes.popleft()
         if not outcomes:
             self.outcomes.pop(host, None)
         counts = dict.fromkeys((ANSWERED, ERRED, LOST), 0)
-        for _, sort in outcomes or ():
-            counts[sort] += 1
+        for _, category in outcomes or ():
+            counts[category] += 1
         if not counts[ERRED] + counts[LOST]:
-            self.faulty.discard(host)
+            self.hosts_with_faults.discard(host)
         late = [
             sent_at
             for _, sent_at, late_after in server.out.values()
-            if seen - sent_at >= late_after and sent_at >= self.since.get(host, 0)
+            if received_until - sent_at >= late_after and sent_at >= self.ignore_before.get(host, 0)
         ]
         return HostReport(
-            self.who,
+            self.author,
             self.zone,
             len(late),
             max(late, default=0),
@@ -132,9 +148,9 @@
             now,
         )
 
-    def forget(self, hosts) -> None:
-        """Those that are not listed any more."""
-        for table in (self.outcomes, self.since):
-            for host in [host for host in table if host not in hosts]:
-                del table[host]
-        self.faulty &= set(hosts)
+    def forget_unlisted(self, hosts) -> None:
+        """Drops hosts that are not in `hosts`."""
+        for by_host in (self.outcomes, self.ignore_before):
+            for host in [host for host in by_host if host not in hosts]:
+                del by_host[host]
+        self.hosts_with_faults &= set(hosts)
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -1,17 +1,19 @@
-"""The fleet's verdicts on hosts, derived by each proxy from the evidence that is alive in its table; pure.
+"""Fleet-wide outlier detection: each proxy derives the state of every host from the shared facts. No I/O.
 
-A host is *out* once enough distinct witnesses blame it, by what they saw against what all others saw at the
-same host at the same time; it is *back on a ramp* once an answer later than what it was blamed for is told,
-or enough trials in a row were answered; *open* once the ramp is over, or nothing alive speaks against it any
-more. One proxy at a time, drawn alike by all, tries one host that is out, with a hop that costs its
-transaction nothing.
+A host is *out* once enough distinct proxies blame it, judged by their reports against the reports of all
+others on the same host in the same window. It returns on a *ramp* ("back") once a report shows an answer
+later than the evidence against it, or once enough trials in a row were answered. It is *open* again when the
+ramp is over, or when no live evidence against it remains. One proxy at a time, selected by a hash that all
+members compute alike, tries one host that is out, with an attempt that costs its transaction nothing.
 
-    a verdict stands no longer than the life of a `trial` past the last word on it
-    no more than MAX_OUT_SHARE of the ready hosts are out, whatever is told
-    who blames hosts that nobody else blames has a bad link of its own, and counts for nobody
+    A verdict expires when the last evidence for it is older than the lifetime of a `trial` fact.
+    No more than MAX_OUT_SHARE of the ready hosts are out, whatever members report.
+    A member that alone blames several hosts has a bad link of its own; its reports are ignored.
 
-The states of a host, and what leads from one to another, are in LIFE. Verdicts make wary and nothing else:
-drains, cold hosts, placement and what the proxy knows alone stand beside them.
+TRANSITIONS lists the states and what leads from one to another. A verdict only lowers a host's share of
+traffic: draining, cold starts, placement and the proxy's own knowledge apply independently.
+
+All times and durations are ticks of 0.1 ms on this process's clock.
 """
 
 from functools import lru_cache
@@ -20,458 +22,544 @@
 import xxhash
 
 from ..policy import interface as i
-from .evidence import WINDOW, HostObservations, HostReport, parse_report, report_value
+from .evidence import OUTCOME_WINDOW, HostObservations, HostReport, parse_report, report_value
 from .facts import FactTable
 
 HOST_FACT, TRIAL_FACT = "host", "trial"  # kinds of facts
-FACT_LIFETIMES = {HOST_FACT: WINDOW, TRIAL_FACT: 100_000}  # ticks
-QUORUM = 2  # witnesses of a host's silence, with nothing heard since by anyone
-FAULTS, WITNESSES, SHARE = 4, 3, 0.3  # faults, of so many proxies, and such a share above common
+FACT_LIFETIMES = {HOST_FACT: OUTCOME_WINDOW, TRIAL_FACT: 100_000}
+# Members that must report a host as silent, with no answer to anyone since.
+SILENCE_QUORUM = 2
+# For FAILING: least number of faults, least number of members that report them, and how far the share of
+# faults must be above twice the median share of all hosts.
+MIN_FAULTS, MIN_WITNESSES, MIN_FAULT_SHARE = 4, 3, 0.3
 MAX_OUT_SHARE = 0.3  # of the ready hosts
-LONE = 3  # hosts that a proxy blames alone, from which on its own link is bad
-AGAIN, ANSWERS = 1_000, 3_000  # ticks between two words on a host: with a new fault, without
-PACE, SLOW_PACE, FRESH = 10_000, 18_000, 50_000  # ticks between trials; with none out for less than FRESH
-QUICK, ALL_TRIED, LEAST_PACE = 500, 60_000, 2_000  # after an answer; in which all are tried once; at least
-STEP = 2_000  # ticks in which those who may try double, until one does
-TRIAL_MOST = 10_000  # ticks after which a trial under way counts as lost
-RAMP = 10_000  # ticks from kept away to its whole share
-LEASE, REFRESH = 20_000, 10_000  # for how long the decisions are told to keep away; told anew
-NEED_SILENT, NEED_FAILING, NEED_MOST = 1, 3, 6  # trials answered in a row before a host comes back
-STRIKES = 300_000  # ticks in which a host that is out again needs one trial more
-SETTLED = 3_000  # ticks after a return in which words may still be of before
-
-OPEN, OUT, BACK = "open", "out", "back"
+BAD_LINK_MIN_HOSTS = 3  # a member that alone blames this many hosts has a bad link itself
+# Least time between two reports on a host: when it got worse, and when only the counts changed.
+WORSE_REPORT_INTERVAL, COUNTS_REPORT_INTERVAL = 1_000, 3_000
+# Time between trials while a host went out less than RECENTLY_OUT ago, and otherwise.
+TRIAL_INTERVAL, SLOW_TRIAL_INTERVAL, RECENTLY_OUT = 10_000, 18_000, 50_000
+# Time to the next trial after an answered one; time within which all hosts that are out are tried once; and
+# the least interval that this cycle may lead to.
+INTERVAL_AFTER_SUCCESS, TRIAL_CYCLE, MIN_TRIAL_INTERVAL = 500, 60_000, 2_000
+# While nobody starts a due trial, the number of members that may start it doubles at this interval.
+CANDIDATE_DOUBLING_INTERVAL = 2_000
+TRIAL_TIMEOUT = 10_000  # after which a trial under way counts as lost
+RAMP_DURATION = 10_000  # from no traffic to the host's full share
+# How long one event keeps the decision core away from a host, and when the event is renewed.
+OUT_LEASE, OUT_LEASE_REFRESH = 20_000, 10_000
+# Trials in a row that must be answered before a host returns; one more for each strike after the first.
+SUCCESSES_AFTER_SILENCE, SUCCESSES_AFTER_FAILING, MAX_SUCCESSES = 1, 3, 6
+STRIKE_MEMORY = 300_000  # a host that goes out again within this time gets a strike
+RETURN_GRACE = 3_000  # reports published this soon after a return may rest on outcomes before it
+
+OPEN, OUT, RETURNING = "open", "out", "back"
 SILENT, FAILING = "silent", "failing"
-# state, what is found -> the next one
-LIFE = {
+# (state, what `detect` found) -> next state
+TRANSITIONS = {
     (OPEN, "blamed"): OUT,
-    (BACK, "blamed"): OUT,
-    (OUT, "cleared"): BACK,
-    (OUT, "forgotten"): BACK,
-    (BACK, "ramp over"): OPEN,
+    (RETURNING, "blamed"): OUT,
+    (OUT, "cleared"): RETURNING,
+    (OUT, "forgotten"): RETURNING,
+    (RETURNING, "ramp over"): OPEN,
 }
-UNDER_WAY, GOOD, BAD, VOID = range(4)  # of a trial
-PHASES = "under way", "answered", "failed", "void"
+UNDER_WAY, SUCCEEDED, FAILED, VOID = range(4)  # phases of a trial, as sent in facts
+PHASE_NAMES = "under way", "answered", "failed", "void"
 
 
 class Trial(NamedTuple):
-    """One proxy's word on one trial of a host."""
+    """One member's report on one trial of a host."""
 
     subject: str
-    who: str
+    author: str
     zone: str
-    round: int  # counts all trials of the fleet
+    round: int  # sequence number over all trials of the fleet
     phase: int
-    run: int  # trials answered in a row, this one included
-    need: int  # that bring the host back
+    successes: int  # trials of the host answered in a row, including this one
+    required: int  # successes in a row after which the host returns
     reason: str
-    began: int  # ticks, on the reader's clock
-    told: int
-    fact_id: int = 0  # of the fact it came as
-
-
-class State:
-    """Of one host that is out or on its way back; `strikes` are kept a while beyond that."""
-
-    __slots__ = ("state", "since", "reason", "late_sent", "strikes", "struck", "known", "by")
+    started_at: int  # on the reader's clock
+    published_at: int
+    fact_id: int = 0  # of the fact that carried it
+
+
+class HostState:
+    """State of a host that is out or returning. An open host keeps it for STRIKE_MEMORY, for its strikes."""
+
+    __slots__ = (
+        "state",
+        "since",
+        "reason",
+        "late_sent_at",
+        "strikes",
+        "last_strike_at",
+        "evidence_at",
+        "blamed_by",
+    )
 
     def __init__(self) -> None:
-        self.state, self.since, self.reason, self.late_sent = OPEN, 0, "", 0
-        self.strikes = self.struck = 0
-        self.known = 0  # when the newest word against it was told
-        self.by: tuple[str, ...] = ()
-
-    def need(self) -> int:
-        first = NEED_SILENT if self.reason == SILENT else NEED_FAILING
-        return min(NEED_MOST, first + max(0, self.strikes - 1))
-
-
-def assess(words: list[HostReport], common: float, members: int) -> tuple[str, list[HostReport]]:
-    """Why a host is at fault by these words, and whose they are; "" where it is not."""
-    heard = max((word.heard for word in words), default=0)
-    silent = [word for word in words if word.late and word.late_sent > heard]
-    if len(silent) >= QUORUM:
-        return SILENT, silent
-    blaming = [word for word in words if word.faults]
-    faults, answers = sum(word.faults for word in words), sum(word.answers for word in words)
+        self.state, self.since, self.reason, self.late_sent_at = OPEN, 0, "", 0
+        self.strikes = self.last_strike_at = 0
+        self.evidence_at = 0  # when the newest evidence against it was published
+        self.blamed_by: tuple[str, ...] = ()
+
+    def required_successes(self) -> int:
+        first = SUCCESSES_AFTER_SILENCE if self.reason == SILENT else SUCCESSES_AFTER_FAILING
+        return min(MAX_SUCCESSES, first + max(0, self.strikes - 1))
+
+
+def assess(reports: list[HostReport], baseline_share: float, members: int) -> tuple[str, list[HostReport]]:
+    """Returns the reason for which these reports blame a host ("" for none) and the reports behind it."""
+    last_heard_at = max((report.heard_at for report in reports), default=0)
+    silence_reports = [report for report in reports if report.late and report.late_sent_at > last_heard_at]
+    if len(silence_reports) >= SILENCE_QUORUM:
+        return SILENT, silence_reports
+    fault_reports = [report for report in reports if report.faults]
+    faults, answers = sum(report.faults for report in reports), sum(report.answers for report in reports)
     if (
-        faults >= FAULTS
-        and len(blaming) >= min(WITNESSES, members)
-        and (faults > (SHARE + 2 * common) * (faults + answers))
+        faults >= MIN_FAULTS
+        and len(fault_reports) >= min(MIN_WITNESSES, members)
+        and (faults > (MIN_FAULT_SHARE + 2 * baseline_share) * (faults + answers))
     ):
-        return FAILING, blaming
+        return FAILING, fault_reports
     return "", []
 
 
-def in_zone(words: list[HostReport], zone: str, common: float, members: int) -> tuple[str, list[HostReport]]:
-    """As this zone's proxies see it, where they see it otherwise than the rest: a way may be bad."""
-    near = [word for word in words if word.zone == zone]
-    if near and len(near) < len(words):
-        reason, by = assess(near, common, members)
-        doubted = max(word.late_sent for word in near)
-        clears = any(word.answers and word.heard > doubted for word in near)
+def assess_for_zone(
+    reports: list[HostReport], zone: str, baseline_share: float, members: int
+) -> tuple[str, list[HostReport]]:
+    """Assesses a host for the proxies of one zone.
+
+    Reports of this zone decide alone where they blame or clear the host, since the network path from here may
+    differ from that of other zones.
+    """
+    zone_reports = [report for report in reports if report.zone == zone]
+    if zone_reports and len(zone_reports) < len(reports):
+        reason, by = assess(zone_reports, baseline_share, members)
+        doubted_at = max(report.late_sent_at for report in zone_reports)
+        clears = any(report.answers and report.heard_at > doubted_at for report in zone_reports)
         if reason or clears:
             return reason, by
-    reason, by = assess(words, common, members)
-    # one other zone alone says nothing of the way from here
+    reason, by = assess(reports, baseline_share, members)
+    # reports of a single other zone say nothing about the path from this one
     return (
         ("", [])
-        if {word.zone for word in by}.isdisjoint({zone}) and len({w.zone for w in by}) == 1
+        if {report.zone for report in by}.isdisjoint({zone}) and len({r.zone for r in by}) == 1
         else (reason, by)
     )
 
 
 def members_with_bad_link(blamed: dict[str, set[str]]) -> set[str]:
-    """Authors that blame at least LONE hosts alone, and more than with others: by host, who blames it."""
-    alone, shared = {}, {}
+    """Returns members that blame at least BAD_LINK_MIN_HOSTS hosts alone, and more alone than with others.
+
+    `blamed`: host -> members that blame it.
+    """
+    sole, shared = {}, {}
     for authors in blamed.values():
-        count = alone if len(authors) == 1 else shared
+        counts_by_author = sole if len(authors) == 1 else shared
         for author in authors:
-            count[author] = count.get(author, 0) + 1
-    return {author for author, hosts in alone.items() if hosts >= LONE and hosts > shared.get(author, 0)}
+            counts_by_author[author] = counts_by_author.get(author, 0) + 1
+    return {
+        author
+        for author, hosts in sole.items()
+        if hosts >= BAD_LINK_MIN_HOSTS and hosts > shared.get(author, 0)
+    }
 
 
 @lru_cache(maxsize=64)
 def trial_order(members: tuple[str, ...], round_: int) -> dict[str, int]:
-    """Who comes first in this round, by rendezvous hashing: all that know the same members draw alike."""
-    order = sorted(members, key=lambda name: xxhash.xxh64_intdigest(f"{round_}\0{name}".encode()))
-    return {name: rank for rank, name in enumerate(order)}
+    """Ranks members for a round by rendezvous hashing, alike wherever the same members are known."""
+    ordered = sorted(members, key=lambda name: xxhash.xxh64_intdigest(f"{round_}\0{name}".encode()))
+    return {name: rank for rank, name in enumerate(ordered)}
 
 
 def subject_of(line: i.Host) -> str:
-    """A host's process, by the number of its id and its start: a word on the life before is none on this."""
+    """Returns the subject of facts on a host's process; a restarted host is a new subject."""
     return f"{line.hash:x}.{line.started or 0}"
 
 
 class HostVerdicts:
-    """`handle` in place of the decisions' own; `evaluate` several times a second gives their event.
+    """Wraps the decision core: call `handle` in its place, and `evaluate` several times a second.
 
-    `live()`: the members that live, sorted, this one among them.
+    `evaluate` returns the event to pass to the decision core, if any. `live()` returns the names of the live
+    members, sorted, including this one.
     """
 
     def __init__(self, proxy, table: FactTable, zone: str, live, say=lambda event, **fields: None) -> None:
         self.proxy, self.table, self.live, self.say = proxy, table, live, say
-        self.seen = HostObservations(table.me, zone)
-        self.states: dict[str, State] = {}  # subject -> ; emptied as strikes are forgotten
-        self.told: dict[str, HostReport] = {}  # subject -> this proxy's last word; emptied by age
-        self.trying: tuple | None = None  # (host, round): what the decisions were told to try
-        self.trial: tuple | None = None  # (tx, host, subject, round, run, need, reason, began)
-        self.listed, self.host_by_subject = None, {}  # the ready hosts as last read; subject -> number
-        self.last: tuple | None = None  # what the decisions were told last
-        self.fresh_until = 0
-        self.alone = False  # this proxy's own link is bad
-        self.words: dict[str, list[HostReport]] = {}
-        self.on_urgent_fact = lambda: None  # called where others should know of a word at once
-        self.on_evidence_used = lambda name, kind, words: None  # told of each use of words against a host
-
-    # ---- between the decisions and whoever drives them
-
-    def handle(self, now: int, event, seen: int | None = None) -> list:
+        self.observations = HostObservations(table.me, zone)
+        self.states: dict[str, HostState] = {}  # by subject; entries expire with their strikes
+        self.own_reports: dict[str, HostReport] = {}  # subject -> last published; entries expire
+        self.requested_trial: tuple | None = None  # (host, round) given to the decision core
+        self.running_trial: tuple | None = (
+            None  # (tx, host, subject, round, successes, required, reason, started_at)
+        )
+        self.listed_hosts, self.host_by_subject = None, {}  # ready hosts when last read; subject -> host
+        self.last_judged: tuple | None = None  # hosts and trial of the last event
+        self.refresh_at = 0
+        self.own_link_bad = False
+        self.reports: dict[str, list[HostReport]] = {}
+        self.on_urgent_fact = lambda: None  # called when a fact should reach other members at once
+        self.on_evidence_used = lambda name, kind, reports: None  # called when evidence keeps a host out
+
+    # ---- events and effects of the decision core
+
+    def handle(self, now: int, event, received_until: int | None = None) -> list:
         if isinstance(event, i.HopEnded):
-            self.seen.ended(now, event)
-            if self.trial is not None and self.trial[:2] == (event.tx, event.host):
-                self.tried(now, event.outcome)
-        effects = self.proxy.handle(now, event, seen)
-        if self.trying is not None and self.proxy.trying is None:
-            host, round_ = self.trying
-            self.trying = None
+            self.observations.record(now, event)
+            if self.running_trial is not None and self.running_trial[:2] == (event.tx, event.host):
+                self.trial_ended(now, event.outcome)
+        effects = self.proxy.handle(now, event, received_until)
+        if self.requested_trial is not None and self.proxy.trying is None:
+            host, round_ = self.requested_trial
+            self.requested_trial = None
             for effect in effects:
                 if isinstance(effect, i.SendHop) and effect.host == host:
-                    self.begins(now, effect.tx, host, round_)
+                    self.trial_started(now, effect.tx, host, round_)
         return effects
 
-    def begins(self, now: int, tx: int, host: int, round_: int) -> None:
+    def trial_started(self, now: int, tx: int, host: int, round_: int) -> None:
         name = subject_of(self.proxy.servers[host].line)
         state = self.states.get(name)
         if state is None:
             return
-        run = max(
-            (trial for trial in self.trials(now) if trial.subject == name),
+        last_trial = max(
+            (trial for trial in self.live_trials(now) if trial.subject == name),
             key=lambda t: t.round,
             default=None,
         )
-        before = run.run if run is not None and run.phase == GOOD else 0
-        self.trial = tx, host, name, round_, before, state.need(), state.reason, now
-        self.tell_trial(now, UNDER_WAY, before)
+        previous = last_trial.successes if last_trial is not None and last_trial.phase == SUCCEEDED else 0
+        self.running_trial = tx, host, name, round_, previous, state.required_successes(), state.reason, now
+        self.publish_trial(now, UNDER_WAY, previous)
 
-    def tried(self, now: int, outcome: str) -> None:
-        before = self.trial[4]
+    def trial_ended(self, now: int, outcome: str) -> None:
+        previous = self.running_trial[4]
         if outcome in (i.COMMITTED, i.DECLINED):
-            self.tell_trial(now, GOOD, before + 1)
+            self.publish_trial(now, SUCCEEDED, previous + 1)
         else:
-            self.tell_trial(now, VOID if outcome in (i.CANCELLED, i.UNSENT) else BAD, 0)
-        self.trial = None
+            self.publish_trial(now, VOID if outcome in (i.CANCELLED, i.UNSENT) else FAILED, 0)
+        self.running_trial = None
 
-    def tell_trial(self, now: int, phase: int, run: int) -> None:
-        _, _, name, round_, _, need, reason, began = self.trial
-        value = (round_, phase, run, need, reason, now - began, self.seen.zone)
+    def publish_trial(self, now: int, phase: int, successes: int) -> None:
+        _, _, name, round_, _, required, reason, started_at = self.running_trial
+        value = (round_, phase, successes, required, reason, now - started_at, self.observations.zone)
         self.table.publish(now, TRIAL_FACT, name, value, len(self.live()))
         self.on_urgent_fact()
 
-    # ---- what is known
+    # ---- shared facts
 
-    def read(self, now: int) -> None:
-        """Words by host, each with its age, without those of proxies whose own link is bad."""
-        if self.listed is not self.proxy.ready:
-            self.listed = self.proxy.ready
-            self.host_by_subject = {subject_of(server.line): server.id for server in self.listed}
-            self.seen.forget(self.proxy.servers)
-        words = {}
+    def refresh_reports(self, now: int) -> None:
+        """Reads the live reports by host, leaving out those of members whose own link is bad."""
+        if self.listed_hosts is not self.proxy.ready:
+            self.listed_hosts = self.proxy.ready
+            self.host_by_subject = {subject_of(server.line): server.id for server in self.listed_hosts}
+            self.observations.forget_unlisted(self.proxy.servers)
+        reports = {}
         for name in self.table.subjects(HOST_FACT):
             if name in self.host_by_subject:
-                words[name] = self.table.parsed(now, HOST_FACT, name, parse_report)
-        bad = members_with_bad_link(
-            {name: {w.who for w in found if w.blames} for name, found in words.items()}
+                reports[name] = self.table.parsed(now, HOST_FACT, name, parse_report)
+        bad_link_members = members_with_bad_link(
+            {name: {r.author for r in host_reports if r.blames} for name, host_reports in reports.items()}
         )
-        self.words = {name: [w for w in found if w.who not in bad] for name, found in words.items()}
-        if (self.table.me in bad) != self.alone:
-            self.alone = self.table.me in bad
-            self.say("own link", bad=self.alone)
-
-    def trials(self, now: int) -> list[Trial]:
+        self.reports = {
+            name: [r for r in host_reports if r.author not in bad_link_members]
+            for name, host_reports in reports.items()
+        }
+        if (self.table.me in bad_link_members) != self.own_link_bad:
+            self.own_link_bad = self.table.me in bad_link_members
+            self.say("own link", bad=self.own_link_bad)
+
+    def live_trials(self, now: int) -> list[Trial]:
         return [
             trial
             for name in self.table.subjects(TRIAL_FACT)
             for trial in self.table.parsed(now, TRIAL_FACT, name, parse_trial)
         ]
 
-    # ---- several times a second
+    # ---- evaluation
+
+    def evaluate(self, now: int, received_until: int) -> i.Judged | None:
+        """Returns an event for the decision core if the verdicts changed or are due for renewal.
 
-    def evaluate(self, now: int, seen: int) -> i.Judged | None:
-        """What the decisions are to be told, if it is another thing than before or its time runs out."""
-        blamed = self.seen.blamed(seen, self.proxy)
+        `received_until`: everything received up to then has been handled.
+        """
+        blamed = self.observations.faulty_hosts(received_until, self.proxy)
         if not blamed and not self.states and not self.table.entries:
             return None
-        self.read(now)
-        self.tell(now, seen, blamed)
-        self.read(now)
-        trials = self.trials(now)
+        self.refresh_reports(now)
+        self.publish_reports(now, received_until, blamed)
+        self.refresh_reports(now)
+        trials = self.live_trials(now)
         latest: dict[str, Trial] = {}
         for trial in trials:
             if trial.subject in self.host_by_subject and (
                 trial.subject not in latest or trial.round >= latest[trial.subject].round
             ):
                 latest[trial.subject] = trial
-        common = self.common()
-        names = set(self.words) | set(self.states) | set(latest)
+        baseline_share = self.median_fault_share()
+        names = set(self.reports) | set(self.states) | set(latest)
         for name in sorted(names, key=lambda n: (self.states[n].since if n in self.states else now, n)):
-            self.step(now, name, latest.get(name), common)
-        return self.event(now, self.draw(now, trials, latest))
+            self.update_state(now, name, latest.get(name), baseline_share)
+        return self.judged_event(now, self.select_trial(now, trials, latest))
 
-    def tell(self, now: int, seen: int, blamed: set[int]) -> None:
-        """This proxy's words: on hosts that it blames, or has blamed and may clear; on those that several
-        blame, how they were to it; on those that are out, only that one was heard since."""
+    def publish_reports(self, now: int, received_until: int, blamed: set[int]) -> None:
+        """Publishes this proxy's reports.
+
+        It reports on hosts that it blames, or has blamed and may now clear, and its counts for hosts that
+        several members blame. For a host that is out it reports only that an answer came since.
+        """
         servers = self.proxy.servers
         names = {subject_of(servers[host].line): host for host in blamed if host in servers}
-        asked = {name for name, words in self.words.items() if sum(w.blames for w in words) >= QUORUM}
-        asked |= {name for name, word in self.told.items() if word.blames}
+        reports_wanted = {
+            name for name, reports in self.reports.items() if sum(r.blames for r in reports) >= SILENCE_QUORUM
+        }
+        reports_wanted |= {name for name, report in self.own_reports.items() if report.blames}
         out = {name for name, state in self.states.items() if state.state == OUT}
-        names |= {name: self.host_by_subject[name] for name in asked | out if name in self.host_by_subject}
+        names |= {
+            name: self.host_by_subject[name] for name in reports_wanted | out if name in self.host_by_subject
+        }
         for name in sorted(names):
-            word, before = self.seen.word(now, seen, self.proxy, names[name]), self.told.get(name)
-            since = now - before.told if before else WINDOW
-            worse = word.blames and (
-                before is None
-                or word.faults > before.faults
-                or (word.late and word.late_sent > before.late_sent)
+            report, previous = (
+                self.observations.report(now, received_until, self.proxy, names[name]),
+                self.own_reports.get(name),
+            )
+            since = now - previous.published_at if previous else OUTCOME_WINDOW
+            worse = report.blames and (
+                previous is None
+                or report.faults > previous.faults
+                or (report.late and report.late_sent_at > previous.late_sent_at)
             )
             if name in out:
-                doubted = self.states[name].late_sent
+                doubted_at = self.states[name].late_sent_at
             else:
-                doubted = max((w.late_sent for w in self.words.get(name, ()) if w.late), default=now)
-            clears = word.heard > doubted and (before is None or before.heard <= doubted)
-            counts = (
-                name in asked
+                doubted_at = max((r.late_sent_at for r in self.reports.get(name, ()) if r.late), default=now)
+            clears = report.heard_at > doubted_at and (previous is None or previous.heard_at <= doubted_at)
+            counts_changed = (
+                name in reports_wanted
                 and name not in out
-                and (word[2:8] != before[2:8] if before else word.answers > 0)
+                and (report[2:8] != previous[2:8] if previous else report.answers > 0)
             )
-            if worse and since >= AGAIN or clears or counts and since >= ANSWERS:
-                self.told[name] = word
-                self.table.publish(now, HOST_FACT, name, report_value(self.seen.zone, word), len(self.live()))
-        for name in [name for name, word in self.told.items() if now - word.told > WINDOW]:
-            del self.told[name]
-
-    def common(self) -> float:
-        """The share of faults that most hosts have: those of which nothing is told have none."""
+            if (
+                worse
+                and since >= WORSE_REPORT_INTERVAL
+                or clears
+                or counts_changed
+                and since >= COUNTS_REPORT_INTERVAL
+            ):
+                self.own_reports[name] = report
+                self.table.publish(
+                    now, HOST_FACT, name, report_value(self.observations.zone, report), len(self.live())
+                )
+        for name in [
+            name for name, report in self.own_reports.items() if now - report.published_at > OUTCOME_WINDOW
+        ]:
+            del self.own_reports[name]
+
+    def median_fault_share(self) -> float:
+        """Returns the median share of faults over all ready hosts; a host without reports counts as 0."""
         shares = sorted(
-            sum(w.faults for w in words) / max(1, sum(w.faults + w.answers for w in words))
-            for words in self.words.values()
+            sum(r.faults for r in reports) / max(1, sum(r.faults + r.answers for r in reports))
+            for reports in self.reports.values()
         )
-        place = (len(self.host_by_subject) - 1) // 2 - (len(self.host_by_subject) - len(shares))
-        return shares[place] if 0 <= place < len(shares) else 0.0
-
-    def step(self, now: int, name: str, trial: Trial | None, common: float) -> None:
-        state = self.states.get(name) or State()
-        words = self.words.get(name, [])
-        given, by, reason = self.found(now, state, words, trial, common)
-        following = LIFE.get((state.state, given))
-        if following == OUT and self.too_many():
-            following = None
-        if following is not None:
-            if following == OUT:
-                state.strikes = state.strikes + 1 if now - state.struck < STRIKES else 1
-                state.struck, state.reason = now, reason
-            if following == BACK and name in self.host_by_subject:
-                self.seen.anew(self.host_by_subject[name], now)
-            why = given if given == "forgotten" else state.reason
+        median_index = (len(self.host_by_subject) - 1) // 2 - (len(self.host_by_subject) - len(shares))
+        return shares[median_index] if 0 <= median_index < len(shares) else 0.0
+
+    def update_state(self, now: int, name: str, trial: Trial | None, baseline_share: float) -> None:
+        state = self.states.get(name) or HostState()
+        reports = self.reports.get(name, [])
+        detected, by, reason = self.detect(now, state, reports, trial, baseline_share)
+        next_state = TRANSITIONS.get((state.state, detected))
+        if next_state == OUT and self.out_limit_reached():
+            next_state = None
+        if next_state is not None:
+            if next_state == OUT:
+                state.strikes = state.strikes + 1 if now - state.last_strike_at < STRIKE_MEMORY else 1
+                state.last_strike_at, state.reason = now, reason
+            if next_state == RETURNING and name in self.host_by_subject:
+                self.observations.reset(self.host_by_subject[name], now)
+            logged_reason = detected if detected == "forgotten" else state.reason
             self.say(
                 "verdict",
                 host=name,
-                state=following,
-                reason=why,
-                by=[word.who for word in by][:8],
-                facts=[word.fact_id for word in by][:8],
+                state=next_state,
+                reason=logged_reason,
+                by=[report.author for report in by][:8],
+                facts=[report.fact_id for report in by][:8],
             )
-            state.state, state.since = following, now
+            state.state, state.since = next_state, now
             self.states[name] = state
         if state.state == OUT and by:
-            state.by = tuple(sorted({word.who for word in by}))
-            state.known = max(state.known, *(word.told for word in by))
+            state.blamed_by = tuple(sorted({report.author for report in by}))
+            state.evidence_at = max(state.evidence_at, *(report.published_at for report in by))
             kind = TRIAL_FACT if isinstance(by[0], Trial) else HOST_FACT
             if kind == HOST_FACT:
-                state.late_sent = max(state.late_sent, max((w.late_sent for w in by if w.late), default=0))
+                state.late_sent_at = max(
+                    state.late_sent_at, max((r.late_sent_at for r in by if r.late), default=0)
+                )
             self.on_evidence_used(name, kind, by)
         if name in self.states and (
-            name not in self.host_by_subject or state.state == OPEN and (now - state.struck >= STRIKES)
+            name not in self.host_by_subject
+            or state.state == OPEN
+            and (now - state.last_strike_at >= STRIKE_MEMORY)
         ):
             del self.states[name]
 
-    def found(self, now: int, state: State, words: list[HostReport], trial: Trial | None, common: float):
-        """What speaks for another state: (given, the words it stands on, reason)."""
+    def detect(
+        self,
+        now: int,
+        state: HostState,
+        reports: list[HostReport],
+        trial: Trial | None,
+        baseline_share: float,
+    ):
+        """Returns (input to TRANSITIONS or "", the reports or trial behind it, reason)."""
         members = len(self.live())
-        if state.state == BACK:
-            words = [w for w in words if w.told > state.since + SETTLED or w.late_sent > state.since]
-        reason, by = in_zone(words, self.seen.zone, common, members)
+        if state.state == RETURNING:
+            reports = [
+                r
+                for r in reports
+                if r.published_at > state.since + RETURN_GRACE or r.late_sent_at > state.since
+            ]
+        reason, by = assess_for_zone(reports, self.observations.zone, baseline_share, members)
         if state.state != OUT:
             if reason:
                 return "blamed", by, reason
             failed = (
                 trial is not None
-                and trial.phase == BAD
-                and trial.told > state.since
-                and (trial.zone == self.seen.zone)
+                and trial.phase == FAILED
+                and trial.published_at > state.since
+                and (trial.zone == self.observations.zone)
+            )
+            if state.state == OPEN and failed and not any(r.heard_at > trial.started_at for r in reports):
+                return "blamed", [trial], trial.reason  # joined late: others had it out and saw it fail
+            return (
+                ("ramp over" if state.state == RETURNING and now - state.since >= RAMP_DURATION else ""),
+                [],
+                "",
             )
-            if state.state == OPEN and failed and not any(w.heard > trial.began for w in words):
-                return "blamed", [trial], trial.reason  # a newcomer: others have it out, and saw it fail
-            return ("ramp over" if state.state == BACK and now - state.since >= RAMP else ""), [], ""
-        if trial is not None and trial.phase == BAD:
-            state.known = max(state.known, trial.told)
-        good = trial is not None and trial.phase == GOOD and trial.run >= trial.need
-        if good and trial.began > state.since:
+        if trial is not None and trial.phase == FAILED:
+            state.evidence_at = max(state.evidence_at, trial.published_at)
+        passed = trial is not None and trial.phase == SUCCEEDED and trial.successes >= trial.required
+        if passed and trial.started_at > state.since:
             return "cleared", [], ""
         if reason:
             return "stands", by, reason
-        if state.reason == SILENT and any(w.heard > state.late_sent for w in words):
-            return "cleared", [w for w in words if w.heard > state.late_sent], ""
-        return ("forgotten" if now - state.known > self.table.lifetimes[TRIAL_FACT] else ""), [], ""
+        if state.reason == SILENT and any(r.heard_at > state.late_sent_at for r in reports):
+            return "cleared", [r for r in reports if r.heard_at > state.late_sent_at], ""
+        return ("forgotten" if now - state.evidence_at > self.table.lifetimes[TRIAL_FACT] else ""), [], ""
 
-    def too_many(self) -> bool:
-        """Out and fresh ones together: what some are kept from must not push over those that bear little."""
+    def out_limit_reached(self) -> bool:
+        """Whether no more hosts may go out: those out and those just started together reach MAX_OUT_SHARE.
+
+        Traffic that is kept from some hosts must not overload those that can take little yet.
+        """
         out = sum(state.state == OUT for name, state in self.states.items() if name in self.host_by_subject)
-        fresh = sum(server.fresh_from is not None for server in self.listed)
-        return out + fresh >= int(MAX_OUT_SHARE * len(self.listed))
+        fresh = sum(server.fresh_from is not None for server in self.listed_hosts)
+        return out + fresh >= int(MAX_OUT_SHARE * len(self.listed_hosts))
 
     # ---- trials
 
-    def draw(self, now: int, trials: list[Trial], latest: dict[str, Trial]) -> tuple | None:
-        """Which host this proxy is to try now, and the round; None: it is another's turn, or nobody's."""
+    def select_trial(self, now: int, trials: list[Trial], latest: dict[str, Trial]) -> tuple | None:
+        """Returns (host, round) of the trial that this proxy should start now, or None."""
         out = [
             name for name, state in self.states.items() if state.state == OUT and name in self.host_by_subject
         ]
         if not out:
             return None
-        newest = max(trials, key=lambda trial: (trial.round, trial.began), default=None)
+        newest = max(trials, key=lambda trial: (trial.round, trial.started_at), default=None)
         if newest is None:
-            round_, due = 1, min(self.states[name].since for name in out) + PACE
+            round_, due = 1, min(self.states[name].since for name in out) + TRIAL_INTERVAL
         else:
-            if newest.phase == UNDER_WAY and now - newest.began < TRIAL_MOST:
+            if newest.phase == UNDER_WAY and now - newest.started_at < TRIAL_TIMEOUT:
                 return None
-            fresh = any(now - self.states[name].since < FRESH for name in out)
-            pace = min(PACE if fresh else SLOW_PACE, max(LEAST_PACE, ALL_TRIED // len(out)))
-            pace = QUICK if newest.phase == GOOD else pace
-            round_, due = newest.round + 1, newest.began + pace
+            fresh = any(now - self.states[name].since < RECENTLY_OUT for name in out)
+            interval = min(
+                TRIAL_INTERVAL if fresh else SLOW_TRIAL_INTERVAL,
+                max(MIN_TRIAL_INTERVAL, TRIAL_CYCLE // len(out)),
+            )
+            interval = INTERVAL_AFTER_SUCCESS if newest.phase == SUCCEEDED else interval
+            round_, due = newest.round + 1, newest.started_at + interval
         members = self.live()
-        drawn = 2 ** max(0, min(20, (now - due) // STEP))
-        if now < due or trial_order(members, round_).get(self.table.me, len(members)) >= drawn:
+        candidates = 2 ** max(0, min(20, (now - due) // CANDIDATE_DOUBLING_INTERVAL))
+        if now < due or trial_order(members, round_).get(self.table.me, len(members)) >= candidates:
             return None
 
-        def turn(name):
+        def priority(name):
             last = latest.get(name)
-            return (last is None or last.phase != GOOD, last.began if last else 0, name)
+            return (last is None or last.phase != SUCCEEDED, last.started_at if last else 0, name)
 
-        return self.host_by_subject[min(out, key=turn)], round_
+        return self.host_by_subject[min(out, key=priority)], round_
 
-    # ---- what the decisions are told
+    # ---- output
 
-    def event(self, now: int, drawn: tuple | None) -> i.Judged | None:
+    def judged_event(self, now: int, trial: tuple | None) -> i.Judged | None:
         hosts = []
         for name, state in self.states.items():
             host = self.host_by_subject.get(name)
             if host is None:
                 continue
             if state.state == OUT:
-                hosts.append((host, now + LEASE, now + LEASE + RAMP))
-            elif state.state == BACK:
-                hosts.append((host, state.since, state.since + RAMP))
-        key = tuple((host, whole if shut <= now else OUT) for host, shut, whole in hosts), drawn
-        self.trying = drawn
-        if key == self.last and now < self.fresh_until:
+                hosts.append((host, now + OUT_LEASE, now + OUT_LEASE + RAMP_DURATION))
+            elif state.state == RETURNING:
+                hosts.append((host, state.since, state.since + RAMP_DURATION))
+        judged = tuple((host, whole if shut <= now else OUT) for host, shut, whole in hosts), trial
+        self.requested_trial = trial
+        if judged == self.last_judged and now < self.refresh_at:
             return None
         closed = {host for host, _, _ in hosts}
-        opened = [host for host, _ in (self.last[0] if self.last else ()) if host not in closed]
-        self.last, self.fresh_until = key, now + REFRESH
-        if not hosts and not opened and drawn is None:
+        opened = [host for host, _ in (self.last_judged[0] if self.last_judged else ()) if host not in closed]
+        self.last_judged, self.refresh_at = judged, now + OUT_LEASE_REFRESH
+        if not hosts and not opened and trial is None:
             return None
         hosts += [(host, 0, 0) for host in opened]
-        return i.Judged(tuple(hosts), drawn[0] if drawn else None)
+        return i.Judged(tuple(hosts), trial[0] if trial else None)
 
     def view(self, now: int) -> list[dict]:
-        """For operators: why a host is out, who says so, and how old that is against its life; ages in ms."""
-        found = []
+        """Returns rows for operators: each host out or returning, the evidence, its age and lifetime."""
+        rows = []
         for name, state in sorted(self.states.items()):
             if state.state == OPEN or name not in self.host_by_subject:
                 continue
-            words = [
+            reports = [
                 {
-                    "by": w.who,
-                    "zone": w.zone,
-                    "late": w.late,
-                    "lost": w.lost,
-                    "errors": w.errors,
-                    "answers": w.answers,
-                    "age_ms": (now - w.told) // 10,
+                    "by": r.author,
+                    "zone": r.zone,
+                    "late": r.late,
+                    "lost": r.lost,
+                    "errors": r.errors,
+                    "answers": r.answers,
+                    "age_ms": (now - r.published_at) // 10,
                     "life_ms": self.table.lifetimes[HOST_FACT] // 10,
                 }
-                for w in self.words.get(name, ())
+                for r in self.reports.get(name, ())
             ]
-            tried = [
+            trial_rows = [
                 {
-                    "by": t.who,
+                    "by": t.author,
                     "round": t.round,
-                    "phase": PHASES[t.phase],
-                    "age_ms": (now - t.told) // 10,
+                    "phase": PHASE_NAMES[t.phase],
+                    "age_ms": (now - t.published_at) // 10,
                     "life_ms": self.table.lifetimes[TRIAL_FACT] // 10,
                 }
-                for t in self.trials(now)
+                for t in self.live_trials(now)
                 if t.subject == name
             ]
-            found.append(
+            rows.append(
                 {
                     "host": self.host_by_subject[name],
                     "state": state.state,
                     "reason": state.reason,
                     "since_ms": (now - state.since) // 10,
-                    "by": list(state.by),
-                    "words": words,
-                    "trials": tried,
-                    "needs": state.need(),
+                    "by": list(state.blamed_by),
+                    "words": reports,
+                    "trials": trial_rows,
+                    "needs": state.required_successes(),
                 }
             )
-        return found
+        return rows
 
 
-def parse_trial(fact, told: int) -> Trial | None:
-    """A fact back, told at that moment; None where its value is none."""
+def parse_trial(fact, published_at: int) -> Trial | None:
+    """Decodes a fact published at this time; None if its value is malformed."""
     value = fact.value
     if (
         len(value) != 7
@@ -480,7 +568,7 @@
         or not all(isinstance(n, int) and not isinstance(n, bool) and n >= 0 for n in (*value[:4], value[5]))
     ):
         return None
-    round_, phase, run, need, reason, ago, zone = value
+    round_, phase, successes, required, reason, started_ago, zone = value
     if phase > VOID or reason not in (SILENT, FAILING):
         return None
     return Trial(
@@ -489,10 +577,10 @@
         zone,
         round_,
         phase,
-        run,
-        max(1, need),
+        successes,
+        max(1, required),
         reason,
-        told - ago,
-        told,
+        published_at - started_ago,
+        published_at,
         fact.fact_id,
     )
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""The fleet's verdicts on hosts, in virtual time: hard cases, each against what must hold for all members."""
+"""Fleet-wide verdicts on hosts: simulated fleets in virtual time, and unit tests of the rules."""
 
 import json
 import unittest
@@ -28,17 +28,23 @@
 from basalthook.policy import interface as i
 from basalthook.policy.decide import Proxy
 
-BASE = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
+BASE_SCENARIO = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
 
 
-def fault(what, at=4, lasts=8, **fields):
-    words = "".join(f"{name} = {json.dumps(value)}\n" for name, value in fields.items())
-    return f"[[faults]]\nwhat = '{what}'\nat = {at}\nlasts = {lasts}\n{words}"
+def fault(kind, at=4, lasts=8, **parameters):
+    settings_lines = "".join(f"{name} = {json.dumps(value)}\n" for name, value in parameters.items())
+    return f"[[faults]]\nwhat = '{kind}'\nat = {at}\nlasts = {lasts}\n{settings_lines}"
 
 
 def play(*faults, seconds=16, zones=("a",), seed=1, proxies=20):
-    """Twenty proxies before twenty hosts; the run, and who had which host out."""
-    head, fleet = BASE[: BASE.index("[[faults]]")], BASE[BASE.index("[fleet]") :]
+    """Simulates twenty proxies with twenty hosts.
+
+    Returns the run, its result and a count by (host, proxy) of how often a proxy took a host out.
+    """
+    head, fleet = (
+        BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
+        BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
+    )
     told = scenario.parse(
         head.replace("proxies = 60", f"proxies = {proxies}")
         .replace("seconds = 50", f"seconds = {seconds}")
@@ -65,15 +71,15 @@
     )
 
 
-class Cases(unittest.TestCase):
-    def held(self, result):
-        """What holds in every run: the four rules, and nothing acted on past its life."""
+class SimulatedFleets(unittest.TestCase):
+    def assert_invariants(self, result):
+        """Checks what holds in every run: the four rules, and no fact used beyond its lifetime."""
         self.assertTrue(result.verdict.kept, result.verdict.first)
         self.assertEqual(result.talk["over_age"], 0)
 
-    def test_three_silent_hosts_are_found_by_all_within_seconds_and_come_back_to_all(self):
+    def test_three_silent_hosts_go_out_and_return_at_all_members(self):
         run, result, out = play(fault("silent", hosts=[0, 1, 2]))
-        self.held(result)
+        self.assert_invariants(result)
         self.assertGreater(result.verdict.service, 0.98)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertLess(result.talk["agree_s"][0], 2.5)
@@ -81,8 +87,8 @@
         back = Counter(e.host in (0, 1, 2) for e in run.wire if type(e).__name__ == "Got" and e.at > 115)
         self.assertGreater(back[True] / 3, 0.5 * back[False] / 17)
 
-    def test_half_of_all_datagrams_lost_and_a_third_of_the_bytes_spoilt_delay_it_and_no_more(self):
-        way = fault(
+    def test_lost_duplicated_and_corrupt_datagrams_only_delay_verdicts(self):
+        lossy_links = fault(
             "lossy",
             at=0,
             lasts=99,
@@ -93,100 +99,105 @@
             delay=0.05,
             spoils=0.1,
         )
-        _, result, out = play(fault("silent", hosts=[0, 1, 2]), way)
-        self.held(result)
+        _, result, out = play(fault("silent", hosts=[0, 1, 2]), lossy_links)
+        self.assert_invariants(result)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertGreater(result.verdict.service, 0.97)
 
-    def test_a_host_that_answers_every_tenth_and_one_that_fails_half_go_out_and_come_back(self):
+    def test_hosts_that_lose_most_answers_or_fail_half_go_out(self):
         for what, share in (("lose_answers", 0.9), ("errors", 0.5)):
             _, result, out = play(fault(what, share=share, hosts=[0]), seconds=20)
-            self.held(result)
+            self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0}, what)
             self.assertGreaterEqual(len(out), 18)
 
-    def test_a_host_that_one_zone_cannot_reach_is_out_for_that_zone_alone(self):
-        even = [f"p{n}" for n in range(0, 20, 2)]  # these are of zone a
+    def test_a_host_that_one_zone_cannot_reach_is_out_in_that_zone_only(self):
+        even = [f"p{n}" for n in range(0, 20, 2)]  # proxies of zone a
         _, result, out = play(fault("cut", between=[even, ["h1"]]), zones=("a", "b"))
-        self.held(result)
+        self.assert_invariants(result)
         self.assertEqual({(host, n % 2) for host, n in out}, {(1, 0)})
 
-    def test_a_proxy_whose_own_link_drops_half_takes_no_host_out_for_others_and_says_so(self):
+    def test_a_proxy_with_a_bad_link_takes_no_host_out_for_others(self):
         run, result, out = play(fault("lossy", lasts=10, between=[["p7"], ["h0-19"]], loses=0.5))
-        self.held(result)
+        self.assert_invariants(result)
         self.assertLessEqual({n for _, n in out}, {7})
 
-    def test_halves_cut_apart_for_twice_the_life_agree_again_after_with_no_restart(self):
+    def test_a_healed_partition_agrees_again_without_a_restart(self):
         for one_way in (False, True):
-            apart = fault("cut", at=2, lasts=20, between=[["p0-9"], ["p10-19"]], one_way=one_way)
-            run, result, out = play(fault("silent", at=4, lasts=8, hosts=[0]), apart, seconds=34)
-            self.held(result)
+            cut = fault("cut", at=2, lasts=20, between=[["p0-9"], ["p10-19"]], one_way=one_way)
+            run, result, out = play(fault("silent", at=4, lasts=8, hosts=[0]), cut, seconds=34)
+            self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0})
             self.assertEqual({len(talk.live()) for talk in run.talking.talks}, {20})
-            # nobody holds what the other half revoked meanwhile
+            # verdicts that the other half revoked during the cut must not survive here
             self.assertFalse(any(s.state == OUT for mind in run.talking.minds for s in mind.states.values()))
 
-    def test_who_counts_tries_or_tells_may_die_or_be_stopped_for_longer_than_a_life(self):
+    def test_verdicts_survive_killed_and_stopped_members(self):
         for what in ("kill_proxy", "stop_proxy"):
             _, result, out = play(
                 fault("silent", hosts=[0, 1], lasts=12),
                 fault(what, at=4.5, lasts=11, proxies=[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]),
                 seconds=22,
             )
-            self.held(result)
+            self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0, 1})
             self.assertGreater(result.verdict.service, 0.97)
 
-    def test_clocks_an_hour_apart_and_two_in_a_hundred_fast_change_nothing(self):
+    def test_clock_offset_and_drift_change_nothing(self):
         clocks = fault("clock", at=0, lasts=9, ahead=3600.0, rate=1.02, proxies=[0, 1, 2, 3, 4, 5])
         _, result, out = play(fault("silent", hosts=[0, 1, 2]), clocks)
-        self.held(result)
+        self.assert_invariants(result)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertGreater(result.verdict.service, 0.98)
 
-    def test_one_started_twenty_times_in_a_minute_under_one_name_ends_as_a_member(self):
+    def test_a_proxy_restarted_twenty_times_under_one_name_ends_as_a_member(self):
         kills = [fault("kill_proxy", at=1 + 0.7 * n, lasts=0.4, proxies=[3]) for n in range(20)]
         run, result, _ = play(*kills, seconds=24)
-        self.held(result)
+        self.assert_invariants(result)
         self.assertEqual({len(talk.live()) for talk in run.talking.talks}, {20})
 
-    def test_the_same_seed_is_the_same_run(self):
+    def test_the_same_seed_gives_the_same_run(self):
         digests = {play(fault("silent", hosts=[0]), seconds=7, proxies=6)[0].digest.hexdigest() for _ in "ab"}
         self.assertEqual(len(digests), 1)
 
-    def test_a_planted_table_that_never_forgets_is_found_by_the_labs_own_clock(self):
-        def never(self, now, kind, name, reader):
-            made = [reader(h.fact, h.born) for h in self.by_subject.get((kind, name), {}).values()]
-            return [word for word in made if word is not None]
+    def test_the_lab_detects_a_table_that_never_expires_facts(self):
+        def parsed_without_expiry(self, now, kind, subject, reader):
+            parsed = [reader(h.fact, h.born) for h in self.by_subject.get((kind, subject), {}).values()]
+            return [report for report in parsed if report is not None]
 
-        with patch.object(FactTable, "parsed", never), patch.object(FactTable, "expire", lambda *_: None):
+        with (
+            patch.object(FactTable, "parsed", parsed_without_expiry),
+            patch.object(FactTable, "expire", lambda *_: None),
+        ):
             _, result, _ = play(fault("silent", hosts=[0], lasts=10))
         self.assertGreater(result.talk["over_age"], 0)
 
 
-def word(who, late_sent=0, heard=0, lost=0, errors=0, answers=0, zone="a"):
-    return HostReport(who, zone, int(late_sent > 0), late_sent, lost, errors, answers, heard, 1_000)
+def make_report(author, late_sent_at=0, heard_at=0, lost=0, errors=0, answers=0, zone="a"):
+    return HostReport(
+        author, zone, int(late_sent_at > 0), late_sent_at, lost, errors, answers, heard_at, 1_000
+    )
 
 
-class Judgement(unittest.TestCase):
-    def test_silence_takes_two_witnesses_and_nobody_who_heard_it_since(self):
-        late = [word("a", 500), word("b", 600)]
-        self.assertEqual(assess(late, 0.0, 9)[0], verdicts.SILENT)
-        self.assertEqual(assess(late[:1], 0.0, 9)[0], "")
-        self.assertEqual(assess([*late, word("c", heard=550)], 0.0, 9)[0], "")
+class Rules(unittest.TestCase):
+    def test_silence_needs_two_witnesses_and_no_later_answer(self):
+        late_reports = [make_report("a", 500), make_report("b", 600)]
+        self.assertEqual(assess(late_reports, 0.0, 9)[0], verdicts.SILENT)
+        self.assertEqual(assess(late_reports[:1], 0.0, 9)[0], "")
+        self.assertEqual(assess([*late_reports, make_report("c", heard_at=550)], 0.0, 9)[0], "")
 
-    def test_failing_takes_three_witnesses_a_share_and_more_than_most_hosts_have(self):
-        bad = [word(who, errors=2, answers=1) for who in "abc"]
-        self.assertEqual(assess(bad, 0.0, 9)[0], verdicts.FAILING)
-        self.assertEqual(assess(bad, 0.4, 9)[0], "")  # so do most hosts
-        self.assertEqual(assess(bad[:2], 0.0, 9)[0], "")
-        self.assertEqual(assess([*bad, word("d", answers=30)], 0.0, 9)[0], "")
+    def test_failing_needs_three_witnesses_and_a_share_above_the_median(self):
+        failing_reports = [make_report(author, errors=2, answers=1) for author in "abc"]
+        self.assertEqual(assess(failing_reports, 0.0, 9)[0], verdicts.FAILING)
+        self.assertEqual(assess(failing_reports, 0.4, 9)[0], "")  # the median host fails as often
+        self.assertEqual(assess(failing_reports[:2], 0.0, 9)[0], "")
+        self.assertEqual(assess([*failing_reports, make_report("d", answers=30)], 0.0, 9)[0], "")
 
-    def test_who_blames_many_hosts_alone_counts_for_nobody(self):
+    def test_a_member_that_blames_many_hosts_alone_has_a_bad_link(self):
         self.assertEqual(members_with_bad_link({"x": {"a"}, "y": {"a"}, "z": {"a"}, "u": {"b", "c"}}), {"a"})
         self.assertEqual(members_with_bad_link({"x": {"a", "b"}, "y": {"a", "b"}, "z": {"a", "b"}}), set())
 
-    def test_all_draw_alike_who_tries_and_everyone_has_a_turn(self):
+    def test_every_member_comes_first_in_some_round(self):
         members = tuple(f"p{n}" for n in range(20))
         firsts = Counter(
             min(trial_order(members, round_), key=trial_order(members, round_).get) for round_ in range(400)
@@ -194,8 +205,8 @@
         self.assertEqual(len(firsts), 20)
         self.assertLess(max(firsts.values()), 60)
 
-    def test_a_word_there_and_back_and_absurd_ones_are_nothing(self):
-        told = word("a", 500, 300, 1, 2, 3)
+    def test_reports_round_trip_and_malformed_values_are_rejected(self):
+        told = make_report("a", 500, 300, 1, 2, 3)
         fact = Fact("a", 1, HOST_FACT, "x", 1, report_value("a", told), 0)
         self.assertEqual(parse_report(fact, 1_000)._replace(fact_id=0), told)
         for value in ((), ("a",) * 7, ("a", -1, 0, 0, 0, 0, 0), ("a", True, 0, 0, 0, 0, 0), (0,) * 7):
@@ -203,9 +214,9 @@
             self.assertIsNone(verdicts.parse_trial(fact._replace(value=value), 1_000), value)
 
 
-class Liars(unittest.TestCase):
+class MaliciousMembers(unittest.TestCase):
     def setUp(self):
-        told = scenario.parse(BASE, "x")
+        told = scenario.parse(BASE_SCENARIO, "x")
         agreed = terms.agreement(settings(told, 0, "a"))
         self.proxy = Proxy(agreed, 1, 0)
         self.proxy.handle(
@@ -220,13 +231,13 @@
             FactTable("me", 1, FACT_LIFETIMES),
             tuple(["me", *(f"p{n}" for n in range(30))]),
         )
-        self.mind = HostVerdicts(self.proxy, self.table, "a", lambda: self.members)
+        self.host_verdicts = HostVerdicts(self.proxy, self.table, "a", lambda: self.members)
 
-    def test_every_member_tells_that_all_hosts_are_out_and_most_stay_open(self):
+    def test_most_hosts_stay_open_when_every_member_blames_all(self):
         now = 1_000_000
         for n in range(30):
             for server in self.proxy.servers.values():
-                blame = word(f"p{n}", now - 100, lost=9)._replace(told=now)
+                blame = make_report(f"p{n}", now - 100, lost=9)._replace(published_at=now)
                 self.table.merge(
                     now,
                     Fact(
@@ -239,9 +250,9 @@
                         0,
                     ),
                 )
-        judged = self.mind.evaluate(now, now)
-        shut = {host for host, until, _ in judged.hosts if until > now}
-        self.assertEqual(len(shut), MAX_OUT_SHARE * 20)
+        judged = self.host_verdicts.evaluate(now, now)
+        kept_away = {host for host, until, _ in judged.hosts if until > now}
+        self.assertEqual(len(kept_away), MAX_OUT_SHARE * 20)
         self.proxy.handle(now, judged)
         sent = {
             effect.host
@@ -249,15 +260,15 @@
             for effect in self.proxy.handle(now, i.TxArrived(n, 0, Random(n).getrandbits(40), 20_000))
             if isinstance(effect, i.SendHop)
         }
-        self.assertFalse(sent & shut)
+        self.assertFalse(sent & kept_away)
         self.assertGreater(len(sent), 8)
-        # and it lapses by itself where nobody speaks any more: with the evidence, and with the lease
+        # without new facts the verdicts expire, with the evidence and with the lease on the decision core
         later = now + FACT_LIFETIMES[TRIAL_FACT] + FACT_LIFETIMES[HOST_FACT]
-        self.mind.evaluate(later, later)
-        self.assertFalse(any(s.state == OUT for s in self.mind.states.values()))
+        self.host_verdicts.evaluate(later, later)
+        self.assertFalse(any(s.state == OUT for s in self.host_verdicts.states.values()))
         self.assertFalse(any(later < server.whole for server in self.proxy.servers.values()))
 
-    def test_a_verdict_opens_nothing_that_the_proxy_itself_keeps_shut(self):
+    def test_a_verdict_does_not_open_hosts_that_the_proxy_itself_avoids(self):
         self.proxy.handle(0, i.HostsListed((i.Host(3, 3, "a", 0, False, 1.0, None, "", True),), False, True))
         self.proxy.keep_away(self.proxy.servers[4], "ban", 50_000)
         self.proxy.handle(0, i.Judged(((3, 0, 0), (4, 0, 0)), 3))
@@ -271,7 +282,7 @@
                 & {3, 4}
             )
 
-    def test_a_trial_is_a_repeatable_hop_cut_short_that_goes_on_elsewhere(self):
+    def test_a_trial_is_a_short_repeatable_attempt_that_continues_elsewhere(self):
         self.proxy.handle(0, i.Judged(((5, 90_000, 99_000),), 5))
         for profile, tried in ((1, False), (0, True), (0, False)):
             sends = [
@@ -281,7 +292,7 @@
             ]
             self.assertEqual(sends[0].host == 5, tried)
             if tried:
-                self.assertLess(sends[0].time_limit, 2_001)  # a third of the goal
+                self.assertLess(sends[0].time_limit, 2_001)  # a third of the service goal
                 again = self.proxy.handle(2_010, i.HopEnded(7, 0, 5, i.TIMED_OUT, 2_000, False))
                 self.assertTrue([e for e in again if isinstance(e, i.SendHop) and e.host != 5])
 
