--- a/basalthook/fleet/allocator.py
+++ b/basalthook/fleet/allocator.py
@@ -1,12 +1,12 @@
-"""Who holds the seat lends parts of each limit: places at hosts, and tokens; pure.
+"""Lending parts of each limit, places at hosts and tokens, by the elected leader. No I/O.
 
-A holder's ask counts for all it holds: what it does not name it has given up before it sent. One sequence
-number for each ask, and only the newest is answered; a later version of the same answer may add to it. The
-keeper counts for each holder the larger of what that one said it holds and what it was last granted, until
-the holder's next ask, or until the lease and every hop under it are over.
+A holder's request states all that it holds: it has given up whatever it does not name. Each request has a
+sequence number and only the newest is answered; a later version of the same answer may add to it. For each
+holder the leader counts the larger of what the holder said it holds and what it was last granted, until the
+holder's next request, or until the lease and every attempt under it are over.
 
-A keeper that is new, or was not the keeper for a moment, grants nothing beyond what a holder still holds
-until all that another may have granted is over. Its buckets begin empty.
+A new leader, or one that was out of office for a moment, grants nothing beyond what a holder still holds
+until everything that another leader may have granted has expired. Its token buckets start empty.
 """
 
 from collections import OrderedDict
@@ -15,195 +15,224 @@
 from .bounds import LEASE_TICKS, MAX_CLOCK_DRIFT, TICKS_PER_SECOND, Limit
 from .election import lengthen_for_drift
 
-HOLDERS_MOST = 8192
-EXTRA = 4  # part of what is free that is lent beyond a wish, over all holders
-Unit = tuple[int, int]  # a limit's id, and the mark of a host; 0 for tokens
+MAX_HOLDERS = 8192
+SPARE_DIVISOR = 4  # all holders together may be lent 1/4 of the free places beyond what they want
+Unit = tuple[int, int]  # (limit id, host hash); the host hash is 0 for tokens
 
 
 class LeaseRequest(NamedTuple):
-    """Of a holder's ask, for one unit."""
+    """One unit of a holder's request."""
 
     unit: Unit
-    holds: int  # places that it may use; tokens taken since its last ask
-    want: int  # places that it would use; tokens more
+    holds: int  # places that it may use; tokens taken from the last answered grant
+    want: int  # places it would use in all; additional tokens
 
 
 class HolderState:
-    """To one holder, by its name and life."""
+    """What is granted to one holder, identified by name and life."""
 
-    __slots__ = ("asked", "version", "until", "out", "granted", "want")
+    __slots__ = ("sequence", "version", "expires_at", "places_out", "granted", "wanted")
 
     def __init__(self) -> None:
-        self.asked = self.version = self.until = 0
-        self.out: dict[Unit, int] = {}  # places that it may have in use
-        self.granted: dict[Unit, int] = {}  # by the answers to its newest ask; tokens as well
-        self.want: dict[Unit, int] = {}
+        self.sequence = self.version = self.expires_at = 0
+        self.places_out: dict[Unit, int] = {}  # places that it may have in use
+        self.granted: dict[Unit, int] = {}  # in answer to its newest request; tokens too
+        self.wanted: dict[Unit, int] = {}
 
 
 class LeaseAllocator:
-    """`limits` by id; `hard_limit`: the longest that a hop can be out. Asks go in, answers come out as
-    (holder, sequence, version, {unit: granted}, units that are short)."""
+    """Answers holders' requests with grants (holder, sequence, version, {unit: granted}, contended units).
+
+    `limits`: by id. `hard_limit`: ticks, the longest that an attempt can run.
+    """
 
     def __init__(self, limits: dict[int, Limit], hard_limit: int) -> None:
         self.limits, self.grant_lifetime = (
             limits,
             LEASE_TICKS + lengthen_for_drift(hard_limit, MAX_CLOCK_DRIFT),
         )
-        self.holders: dict[tuple, HolderState] = {}  # (name, life) -> ; emptied as what was lent is over
+        self.holders: dict[tuple, HolderState] = {}  # by (name, life); entries expire
         self.used: dict[Unit, int] = {}
-        self.waiting: dict[Unit, OrderedDict] = {}  # holders whose wish is not met, the first one first
-        self.levels: dict[int, tuple[float, int]] = {}  # limit -> (tokens, when)
-        self.full_from = 0
-        self.no_leases_out = False  # told by whoever knows that nobody holds anything yet
+        self.waiting: dict[Unit, OrderedDict] = {}  # holders short of what they want, in order
+        self.buckets: dict[int, tuple[float, int]] = {}  # limit -> (tokens, updated at)
+        self.capacity_known_from = 0
+        self.no_leases_out = False  # set by a caller that knows that no leases exist yet
         self.short_until: dict[Unit, int] = {}
 
     def start_term(self, now: int) -> None:
-        """The seat is anew this process's."""
+        """Resets the state when this process becomes leader."""
         self.holders.clear()
         self.used.clear()
         self.waiting.clear()
         self.short_until.clear()
-        self.levels = {n: (0.0, now) for n, limit in self.limits.items() if not limit.counts_places}
-        self.full_from = now if self.no_leases_out else now + self.grant_lifetime
+        self.buckets = {n: (0.0, now) for n, limit in self.limits.items() if not limit.counts_places}
+        self.capacity_known_from = now if self.no_leases_out else now + self.grant_lifetime
         self.no_leases_out = False
 
-    # ---- what is free
+    # ---- free capacity
 
     def free(self, now: int, unit: Unit) -> int:
         limit = self.limits[unit[0]]
         if limit.counts_places:
-            return max(0, int(limit.lendable()) - self.used.get(unit, 0)) if now >= self.full_from else 0
-        level, at = self.levels[unit[0]]
-        level = min(limit.bucket_depth(), level + (now - at) * limit.lendable() / TICKS_PER_SECOND)
-        self.levels[unit[0]] = level, now
-        return int(level)
-
-    def put(self, lent: HolderState, unit: Unit, out: int) -> int:
-        """How many places came free."""
-        before = lent.out.pop(unit, 0)
-        if out:
-            lent.out[unit] = out
-        used = self.used.get(unit, 0) + out - before
+            return (
+                max(0, int(limit.lendable()) - self.used.get(unit, 0))
+                if now >= self.capacity_known_from
+                else 0
+            )
+        tokens_left, updated_at = self.buckets[unit[0]]
+        tokens_left = min(
+            limit.bucket_depth(), tokens_left + (now - updated_at) * limit.lendable() / TICKS_PER_SECOND
+        )
+        self.buckets[unit[0]] = tokens_left, now
+        return int(tokens_left)
+
+    def set_places_out(self, state: HolderState, unit: Unit, places_out: int) -> int:
+        """Records the places that a holder may use; returns how many came free."""
+        previous = state.places_out.pop(unit, 0)
+        if places_out:
+            state.places_out[unit] = places_out
+        used = self.used.get(unit, 0) + places_out - previous
         self.used[unit] = used
         if not used:
             del self.used[unit]
-        return before - out
+        return previous - places_out
 
-    # ---- asks
+    # ---- requests
 
-    def request(self, now: int, who: tuple, sequence: int, got: int, rows: list[LeaseRequest]) -> list[tuple]:
-        """`got`: the ask whose answer this holder took last. It has sworn off answers to earlier ones."""
+    def request(
+        self, now: int, holder: tuple, sequence: int, answered_sequence: int, requests: list[LeaseRequest]
+    ) -> list[tuple]:
+        """Handles a holder's request and returns the grants to send.
+
+        `answered_sequence`: the request whose answer the holder took last. It accepts no answer to an earlier
+        one.
+        """
         self.expire(now)
-        lent = self.holders.get(who)
-        if lent is None:
-            if len(self.holders) >= HOLDERS_MOST:
+        state = self.holders.get(holder)
+        if state is None:
+            if len(self.holders) >= MAX_HOLDERS:
                 return []
-            lent = self.holders[who] = HolderState()
-        if sequence <= lent.asked:
+            state = self.holders[holder] = HolderState()
+        if sequence <= state.sequence:
             return []
-        named, freed = {row.unit for row in rows}, []
-        for unit in [unit for unit in lent.out if unit not in named]:
-            freed += [unit] * bool(self.put(lent, unit, 0))
-        for unit in [unit for unit in lent.want if unit not in named]:
-            self.waits(lent, who, unit, 0)
-        before, lent.granted = (lent.granted, {})
-        for row in rows:
-            limit = self.limits.get(row.unit[0])
+        named_units, freed = {request.unit for request in requests}, []
+        for unit in [unit for unit in state.places_out if unit not in named_units]:
+            freed += [unit] * bool(self.set_places_out(state, unit, 0))
+        for unit in [unit for unit in state.wanted if unit not in named_units]:
+            self.set_waiting(state, holder, unit, 0)
+        previous, state.granted = (state.granted, {})
+        for request in requests:
+            limit = self.limits.get(request.unit[0])
             if limit is None:
                 continue
             if limit.counts_places:
-                freed += self.places(now, lent, who, row)
+                freed += self.grant_places(now, state, holder, request)
             else:
-                self.tokens(now, lent, who, row, before.get(row.unit, 0), got == lent.asked)
-        lent.asked, lent.version, lent.until = sequence, 1, now + self.grant_lifetime
-        return [self.answer(now, who), *self.serve(now, freed, who)]
-
-    def places(self, now: int, lent: HolderState, who: tuple, row: LeaseRequest) -> list[Unit]:
-        had = lent.out.get(row.unit, 0)
-        # guards against one that says it holds more than it was lent; of before this keeper it alone knows
-        holds = row.holds if now < self.full_from else min(row.holds, had)
-        fewer = self.put(lent, row.unit, holds)
-        free = self.free(now, row.unit)
-        wish = row.want
-        if not self.waiting.get(row.unit) and wish <= holds + free:
-            wish += max(0, free - max(0, wish - holds)) // (EXTRA * max(1, len(self.holders)))
-        given = min(wish, holds + free)
-        self.put(lent, row.unit, max(holds, given))
-        lent.granted[row.unit] = given
-        self.waits(lent, who, row.unit, row.want if given < row.want else 0)
-        return [row.unit] if fewer > 0 else []
-
-    def tokens(
-        self, now: int, lent: HolderState, who: tuple, row: LeaseRequest, before: int, took: bool
+                self.grant_tokens(
+                    now,
+                    state,
+                    holder,
+                    request,
+                    previous.get(request.unit, 0),
+                    answered_sequence == state.sequence,
+                )
+        state.sequence, state.version, state.expires_at = sequence, 1, now + self.grant_lifetime
+        return [self.grant_of(now, holder), *self.serve_waiting(now, freed, holder)]
+
+    def grant_places(self, now: int, state: HolderState, holder: tuple, request: LeaseRequest) -> list[Unit]:
+        lent_before = state.places_out.get(request.unit, 0)
+        # A holder may not claim more than it was lent; what an earlier leader lent, only the holder knows.
+        holds = request.holds if now < self.capacity_known_from else min(request.holds, lent_before)
+        freed_places = self.set_places_out(state, request.unit, holds)
+        free = self.free(now, request.unit)
+        wanted = request.want
+        if not self.waiting.get(request.unit) and wanted <= holds + free:
+            wanted += max(0, free - max(0, wanted - holds)) // (SPARE_DIVISOR * max(1, len(self.holders)))
+        granted = min(wanted, holds + free)
+        self.set_places_out(state, request.unit, max(holds, granted))
+        state.granted[request.unit] = granted
+        self.set_waiting(state, holder, request.unit, request.want if granted < request.want else 0)
+        return [request.unit] if freed_places > 0 else []
+
+    def grant_tokens(
+        self,
+        now: int,
+        state: HolderState,
+        holder: tuple,
+        request: LeaseRequest,
+        previous_grant: int,
+        answer_taken: bool,
     ) -> None:
-        """What was granted and not taken is free again: its holder takes no answer to an earlier ask."""
-        limit = self.limits[row.unit[0]]
-        lost = before - (min(before, row.holds) if took else 0)
-        self.free(now, row.unit)
-        level, _ = self.levels[row.unit[0]]
-        self.levels[row.unit[0]] = min(limit.bucket_depth(), level + lost), now
-        free = self.free(now, row.unit)
-        given = min(row.want, max(min(1, free), free // (1 + len(self.waiting.get(row.unit, ())))))
-        self.levels[row.unit[0]] = self.levels[row.unit[0]][0] - given, now
-        lent.granted[row.unit] = given
-        self.waits(lent, who, row.unit, row.want if given < row.want else 0)
-
-    def waits(self, lent: HolderState, who: tuple, unit: Unit, want: int) -> None:
-        row = self.waiting.setdefault(unit, OrderedDict())
+        """Grants tokens; those granted before and not taken are free again, as their answer is void."""
+        limit = self.limits[request.unit[0]]
+        unused = previous_grant - (min(previous_grant, request.holds) if answer_taken else 0)
+        self.free(now, request.unit)
+        tokens_left, _ = self.buckets[request.unit[0]]
+        self.buckets[request.unit[0]] = min(limit.bucket_depth(), tokens_left + unused), now
+        free = self.free(now, request.unit)
+        granted = min(request.want, max(min(1, free), free // (1 + len(self.waiting.get(request.unit, ())))))
+        self.buckets[request.unit[0]] = self.buckets[request.unit[0]][0] - granted, now
+        state.granted[request.unit] = granted
+        self.set_waiting(state, holder, request.unit, request.want if granted < request.want else 0)
+
+    def set_waiting(self, state: HolderState, holder: tuple, unit: Unit, want: int) -> None:
+        queue = self.waiting.setdefault(unit, OrderedDict())
         if want:
-            lent.want[unit] = want
-            row.setdefault(who, True)
+            state.wanted[unit] = want
+            queue.setdefault(holder, True)
         else:
-            lent.want.pop(unit, None)
-            row.pop(who, None)
-            if not row:
+            state.wanted.pop(unit, None)
+            queue.pop(holder, None)
+            if not queue:
                 del self.waiting[unit]
 
-    def answer(self, now: int, who: tuple) -> tuple:
-        lent = self.holders[who]
-        short = [unit for unit in lent.granted if unit in self.waiting]
-        return who, lent.asked, lent.version, dict(lent.granted), short
+    def grant_of(self, now: int, holder: tuple) -> tuple:
+        state = self.holders[holder]
+        short = [unit for unit in state.granted if unit in self.waiting]
+        return holder, state.sequence, state.version, dict(state.granted), short
 
-    # ---- what comes free
+    # ---- capacity that comes free
 
-    def serve(self, now: int, units, but: tuple | None = None) -> list[tuple]:
-        """Later versions of answers, to those who wait for one of these units."""
-        told: dict[tuple, None] = {}
+    def serve_waiting(self, now: int, units, requester: tuple | None = None) -> list[tuple]:
+        """Returns new versions of answers for holders waiting for these units, the requester's last."""
+        updated: dict[tuple, None] = {}
         for unit in dict.fromkeys(units):
-            for who in list(self.waiting.get(unit, ())):
+            for holder in list(self.waiting.get(unit, ())):
                 free = self.free(now, unit)
                 if free < 1:
                     break
-                lent = self.holders[who]
-                more = min(free, lent.want[unit] - lent.granted[unit])
+                state = self.holders[holder]
+                additional = min(free, state.wanted[unit] - state.granted[unit])
                 if self.limits[unit[0]].counts_places:
-                    lent.granted[unit] += more
-                    self.put(lent, unit, max(lent.out.get(unit, 0), lent.granted[unit]))
+                    state.granted[unit] += additional
+                    self.set_places_out(state, unit, max(state.places_out.get(unit, 0), state.granted[unit]))
                 else:
-                    more = min(more, max(1, free // len(self.waiting[unit])))
-                    lent.granted[unit] += more
-                    self.levels[unit[0]] = self.levels[unit[0]][0] - more, now
-                if lent.granted[unit] >= lent.want[unit]:
-                    self.waits(lent, who, unit, 0)
-                told[who] = None
-        for who in told:
-            self.holders[who].version += 1
-        return [self.answer(now, who) for who in told if who != but] + [
-            self.answer(now, who) for who in told if who == but
+                    additional = min(additional, max(1, free // len(self.waiting[unit])))
+                    state.granted[unit] += additional
+                    self.buckets[unit[0]] = self.buckets[unit[0]][0] - additional, now
+                if state.granted[unit] >= state.wanted[unit]:
+                    self.set_waiting(state, holder, unit, 0)
+                updated[holder] = None
+        for holder in updated:
+            self.holders[holder].version += 1
+        return [self.grant_of(now, holder) for holder in updated if holder != requester] + [
+            self.grant_of(now, holder) for holder in updated if holder == requester
         ]
 
     def expire(self, now: int) -> list[Unit]:
         freed = []
-        for who in [who for who, lent in self.holders.items() if now >= lent.until]:
-            lent = self.holders.pop(who)
-            for unit in list(lent.out):
-                self.put(lent, unit, 0)
+        for holder in [holder for holder, state in self.holders.items() if now >= state.expires_at]:
+            state = self.holders.pop(holder)
+            for unit in list(state.places_out):
+                self.set_places_out(state, unit, 0)
                 freed.append(unit)
-            for unit in list(lent.want):
-                self.waits(lent, who, unit, 0)
+            for unit in list(state.wanted):
+                self.set_waiting(state, holder, unit, 0)
         return freed
 
     def tick(self, now: int) -> list[tuple]:
-        """Several times a second: what ran out, and tokens that have come."""
+        """Call several times a second: expires leases and grants what came free, new tokens included."""
         freed = self.expire(now)
-        return self.serve(now, [*freed, *(u for u in self.waiting if now >= self.full_from or u[1] == 0)])
+        return self.serve_waiting(
+            now, [*freed, *(u for u in self.waiting if now >= self.capacity_known_from or u[1] == 0)]
+        )
--- a/basalthook/fleet/bounds.py
+++ b/basalthook/fleet/bounds.py
@@ -1,11 +1,15 @@
-"""The fleet's limits as an operator states them, and what is promised of each, as formulas; pure.
+"""Fleet-wide limits as operators configure them, and formulas for what each limit guarantees. No I/O.
 
-All times are ticks. `clocks` is the part by which each clock's rate may be off.
+All times are ticks of 0.1 ms. Clocks of members may differ in rate by MAX_CLOCK_DRIFT each.
 
-    a place or token is spent by its holder no later than LEASE_TICKS after it was asked for, on its clock
-    a place that nobody gives back is free again after LEASE_TICKS + the longest hard limit (a hop may be out)
-    a keeper's death: its fellows go on with what they hold, as LEASE_TICKS is longer than two terms
-    floors: parts that need no message, so many for each told proxy; not lent by the keeper where `never`
+    A holder uses a place or token no longer than LEASE_TICKS after it requested it, on its own clock.
+    A place that is not given back is free again after LEASE_TICKS plus the longest hard limit, since an
+    attempt may still be running under it.
+    When the leader dies, holders keep what they hold, as LEASE_TICKS is longer than two terms.
+    Floors are parts of a limit that each proxy has without any message, divided by the configured number of
+    proxies. The leader does not lend them where the limit is `never` exceeded.
+
+The elected leader that lends parts of limits is the `keeper` of the fleet file, the log and the console.
 """
 
 from typing import NamedTuple
@@ -14,26 +18,29 @@
 
 from .election import lengthen_for_drift, shorten_for_drift
 
-TICKS_PER_SECOND = 10_000  # a second
-TERM_TICKS = 10_000  # ticks that the keeper's seat is held without a new vote
-LEASE_TICKS = 30_000  # ticks that a place is held without a new word of the keeper
-TOKEN_LIFETIME = 10_000  # ticks in which a token is to be spent
-MAX_CLOCK_DRIFT = 0.02
+TICKS_PER_SECOND = 10_000
+TERM_TICKS = 10_000  # how long a leader stays in office without new votes
+LEASE_TICKS = 30_000  # how long a place may be held without a new grant
+TOKEN_LIFETIME = 10_000  # ticks within which a token must be spent
+MAX_CLOCK_DRIFT = 0.02  # relative error of a clock's rate
 RATE, HOST, RETRIES = "rate", "host", "retries"
 NEVER, BOUNDED = "never", "bounded"
 
 
 class Limit(NamedTuple):
-    """`rate`: first hops of its profiles a second over the fleet; `host`: places at each host; `retries`:
-    further hops a second."""
+    """A limit over the whole fleet.
+
+    Kinds: `rate` limits first attempts of its profiles per second, `host` the concurrent attempts ("places")
+    at each host, `retries` further attempts per second.
+    """
 
     name: str
     kind: str
     amount: float
-    burst: float = 0.0  # tokens at once; of places none
-    profiles: tuple[int, ...] = ()  # of a rate: indices; empty: all
+    burst: float = 0.0  # tokens at once; unused for places
+    profiles: tuple[int, ...] = ()  # indices, for `rate` only; empty means all
     over: str = NEVER
-    floor: float = 0.0  # part of the amount that proxies have without any message
+    floor: float = 0.0  # share of the amount that proxies have without any message
 
     @property
     def id(self) -> int:
@@ -43,42 +50,52 @@
     def counts_places(self) -> bool:
         return self.kind == HOST
 
-    # ---- what the keeper lends, and what is everybody's own
+    # ---- what the leader lends, and what each proxy has by itself
 
     def lendable(self) -> float:
-        """Places, or tokens a second. Of what is never to be exceeded, floors are taken out first."""
-        own = self.floor if self.over == NEVER else 0.0
+        """Returns the places, or tokens per second, that the leader may lend.
+
+        Floors are subtracted where the limit may `never` be exceeded, and always for places.
+        """
+        reserved_share = self.floor if self.over == NEVER else 0.0
         if self.counts_places:
             return self.amount - int(self.floor * self.amount)
-        return self.amount * (1 - own) / (1 + MAX_CLOCK_DRIFT)  # the keeper's clock may be fast
+        return self.amount * (1 - reserved_share) / (1 + MAX_CLOCK_DRIFT)  # the leader's clock may be fast
 
     def bucket_depth(self) -> float:
-        """Of the keeper's bucket: what holders may still have in hand counts against the burst."""
-        own = self.floor if self.over == NEVER else 0.0
-        return max(0.0, (self.burst - self.amount * TOKEN_LIFETIME / TICKS_PER_SECOND) * (1 - own))
-
-    def own_places_at(self, mark: int, position: int, proxies: int) -> int:
-        """Of the floor's places at the host with this mark, those of the proxy at this position: each goes
-        to one of the told proxies, without a word between them."""
-        units = range(int(self.floor * self.amount))
+        """Returns the depth of the leader's token bucket, less what holders may still have in hand."""
+        reserved_share = self.floor if self.over == NEVER else 0.0
+        return max(0.0, (self.burst - self.amount * TOKEN_LIFETIME / TICKS_PER_SECOND) * (1 - reserved_share))
+
+    def own_places_at(self, host_hash: int, position: int, proxies: int) -> int:
+        """Returns how many floor places at a host belong to the proxy at this position.
+
+        Each place goes to one of the configured proxies by a hash, without any message between them.
+        """
+        places = range(int(self.floor * self.amount))
         return sum(
-            xxhash.xxh32_intdigest(f"{mark:x}.{unit}".encode()) % proxies == position for unit in units
+            xxhash.xxh32_intdigest(f"{host_hash:x}.{unit}".encode()) % proxies == position for unit in places
         )
 
     def own_token_rate(self, proxies: int) -> tuple[float, float]:
-        """Tokens a tick and at once of one proxy's floor. Where it holds less than one there is none."""
+        """Returns (tokens per tick, burst) of one proxy's floor; (0, 0) for a burst below one token."""
         depth, rate = self.floor * self.burst / proxies, self.floor * self.amount / proxies / TICKS_PER_SECOND
         return (rate / (1 + MAX_CLOCK_DRIFT), depth) if depth >= 1 else (0.0, 0.0)
 
-    # ---- what is promised
+    # ---- guarantees
 
     def max_excess(self) -> float:
-        """The largest part over the limit in any window, links and clocks as they may be: against `amount`
-        places; or, of tokens, `amount` a second and `burst` at once."""
+        """Returns the greatest share by which any window may exceed the limit, whatever links and clocks do.
+
+        It is relative to `amount` places, or to `amount` tokens per second and `burst` at once.
+        """
         return self.floor if self.over == BOUNDED else 0.0
 
     def unused_after_death(self, hard_limit: int) -> int:
-        """Ticks that what a dead proxy held lies unused at most; `hard_limit`: the longest of all."""
+        """Returns for how many ticks at most the lease of a dead proxy lies unused.
+
+        `hard_limit`: ticks, the longest of all profiles.
+        """
         return (
             LEASE_TICKS + lengthen_for_drift(hard_limit, MAX_CLOCK_DRIFT)
             if self.counts_places
@@ -86,19 +103,21 @@
         )
 
     def pause_after_leader_loss(self, hard_limit: int) -> int:
-        """Ticks without a new grant after a keeper's death at most, once a seat is given anew: what is held
-        stays in use meanwhile."""
+        """Returns for how many ticks at most nothing new is granted after a leader's death.
+
+        It assumes that the next election succeeds. Leases already held stay in use meanwhile.
+        """
         return 2 * TERM_TICKS + (
             LEASE_TICKS + lengthen_for_drift(hard_limit, MAX_CLOCK_DRIFT) if self.counts_places else 0
         )
 
     def max_staleness(self) -> int:
-        """Ticks that a part may be used after the last word on it."""
+        """Returns for how many ticks a lease may be used after the request for it."""
         return shorten_for_drift(LEASE_TICKS if self.counts_places else TOKEN_LIFETIME, MAX_CLOCK_DRIFT)
 
 
 def invalid_reason(limit: Limit) -> str:
-    """What no limit can mean; "" where it is sound."""
+    """Returns why a limit is invalid, or "" if it is valid."""
     if limit.amount < 0 or limit.counts_places and limit.amount != int(limit.amount):
         return f"Expected {'a whole number' if limit.counts_places else 'no less than 0'}, got {limit.amount}"
     if (
--- a/basalthook/fleet/lease_holder.py
+++ b/basalthook/fleet/lease_holder.py
@@ -1,113 +1,130 @@
-"""What one process holds of the fleet's limits, by the keeper's last word; pure.
+"""The leases that one process holds of the fleet's limits. No I/O.
 
-It gives up before it says so, and takes an answer to its newest ask alone; what it was lent counts from the
-moment at which it asked, on its own clock, for less than the keeper counts. So whatever the links do to the
-datagrams, what all holders may use at a time is no more than what the keeper has counted for them.
+It gives places up before it says so, and accepts an answer to its newest request only. A lease counts from
+the moment of the request, on the holder's clock, for less time than the leader counts. So whatever the links
+do to the datagrams, all holders together never use more than the leader has counted for them.
 """
 
 from .allocator import LeaseRequest, Unit
 from .bounds import LEASE_TICKS, MAX_CLOCK_DRIFT, TOKEN_LIFETIME
 from .election import shorten_for_drift
 
-PATIENCE = 500  # ticks after which an ask counts as lost; doubled each time, up to ...
-PATIENCE_MOST = 2_000
-RENEW = LEASE_TICKS // 4  # ticks between two asks while nothing has changed
+# Ticks after which a request counts as lost; doubled each time, up to the maximum.
+RETRY_INTERVAL = 500
+MAX_RETRY_INTERVAL = 2_000
+RENEW_INTERVAL = LEASE_TICKS // 4  # ticks between two requests while nothing has changed
 
 
 class LeaseHolder:
-    """`tokens` tells which units are tokens, of which a later answer adds; places are replaced."""
+    """Makes requests and applies grants: a later answer replaces places and adds tokens."""
 
     def __init__(self, now: int) -> None:
-        self.sequence = self.got = self.version = 0
-        self.asked_at = now
-        self.open = False  # an ask is out that no answer has come to
-        self.slow, self.began = 0.0, now  # ticks from a first ask to an answer, of late
-        self.lost = 0  # asks in a row without an answer
-        self.held_places: dict[Unit, int] = {}  # places, valid until ...
+        self.sequence = self.answered_sequence = self.version = 0
+        self.requested_at = now
+        self.awaiting_answer = False  # the last request is unanswered
+        self.answer_delay, self.first_requested_at = 0.0, now  # mean in ticks, retries included
+        self.unanswered = 0  # requests in a row without an answer
+        self.held_places: dict[Unit, int] = {}  # usable before `places_until`
         self.places_until = 0
-        self.offered: dict[Unit, int] = {}  # wants of the newest ask
-        self.tokens: dict[Unit, dict[int, list[int]]] = {}  # in hand, by ask: [count, until]
-        self.granted_tokens: dict[Unit, int] = {}  # by the answers to the ask that was answered last
-        self.short: set[Unit] = set()  # others wait for these
+        self.wanted_places: dict[Unit, int] = {}  # of the newest request
+        self.token_lots: dict[Unit, dict[int, list[int]]] = {}  # sequence -> [count, until]
+        self.granted_tokens: dict[Unit, int] = {}  # in answer to `answered_sequence`
+        self.contended: set[Unit] = set()  # units that other holders wait for
         self.renew_at = 0
 
     def usable_places(self, now: int, unit: Unit) -> int:
         return self.held_places.get(unit, 0) if now < self.places_until else 0
 
     def usable_tokens(self, now: int, unit: Unit) -> tuple[int, int]:
-        """Tokens, and until when all of them are good; what is too old is let go."""
-        lots = self.tokens.get(unit, {})
+        """Returns the tokens held and when the first of them expires; drops expired ones."""
+        lots = self.token_lots.get(unit, {})
         for sequence in [sequence for sequence, lot in lots.items() if lot[0] < 1 or now >= lot[1]]:
             del lots[sequence]
         return sum(lot[0] for lot in lots.values()), min((lot[1] for lot in lots.values()), default=0)
 
     def spend(self, now: int, unit: Unit, count: int) -> None:
-        """The oldest first."""
-        for lot in self.tokens.get(unit, {}).values():
-            used = min(count, lot[0])
-            lot[0] -= used
-            count -= used
+        """Spends tokens, the oldest first."""
+        for lot in self.token_lots.get(unit, {}).values():
+            taken = min(count, lot[0])
+            lot[0] -= taken
+            count -= taken
 
     def lease_age(self, now: int) -> int:
-        """Ticks since the ask that the keeper's last word answers."""
+        """Returns the ticks since the request that was answered last."""
         return now - (self.places_until - shorten_for_drift(LEASE_TICKS, MAX_CLOCK_DRIFT))
 
     def release_all(self) -> None:
-        """It gives up all, and takes no answer any more."""
-        self.held_places, self.tokens, self.places_until = {}, {}, 0
+        """Gives up everything and accepts no answer to an earlier request."""
+        self.held_places, self.token_lots, self.places_until = {}, {}, 0
         self.sequence += 1
 
     def request_due(self, now: int, places: dict[Unit, int], tokens: dict[Unit, int]) -> bool:
-        """Whether to ask now: an answer is missing, the wish has changed, or what is lent grows old."""
-        if self.open:
-            return now - self.asked_at >= min(PATIENCE_MOST, PATIENCE << min(self.lost, 4))
+        """Whether to send a request now: an answer is missing, the demand changed, or a renewal is due."""
+        if self.awaiting_answer:
+            return now - self.requested_at >= min(
+                MAX_RETRY_INTERVAL, RETRY_INTERVAL << min(self.unanswered, 4)
+            )
         if not places and not tokens and not self.held_places:
             return False
-        return now >= self.renew_at or bool(tokens) or places != self.offered
+        return now >= self.renew_at or bool(tokens) or places != self.wanted_places
 
     def request(
-        self, now: int, places: dict[Unit, int], tokens: dict[Unit, int], used: dict[Unit, int]
+        self, now: int, places: dict[Unit, int], tokens: dict[Unit, int], in_use: dict[Unit, int]
     ) -> tuple[int, int, list[LeaseRequest]]:
-        """`places`, `tokens`: what it would have; `used`: places with a hop out, which can't be given up."""
-        self.lost = self.lost + 1 if self.open else 0
-        self.began = self.began if self.open else now
+        """Returns (sequence, sequence answered last, rows) of a new request.
+
+        `places`, `tokens`: what is wanted. `in_use`: places under a running attempt, which can't be given up.
+        """
+        self.unanswered = self.unanswered + 1 if self.awaiting_answer else 0
+        self.first_requested_at = self.first_requested_at if self.awaiting_answer else now
         if now >= self.places_until:
             self.held_places = {}
-        rows, kept = [], {}
-        for unit in {**self.held_places, **places, **used}:
-            # guards against giving up what is in use: the keeper would lend it to another
-            out = used.get(unit, 0)
-            held = min(self.held_places.get(unit, 0), max(places.get(unit, 0), out))
-            if held:
-                kept[unit] = held
-            if held or out or places.get(unit):
-                rows.append(LeaseRequest(unit, max(held, out), max(places.get(unit, 0), out)))
-        for unit, more in tokens.items():
-            rows.append(LeaseRequest(unit, self.granted_tokens.get(unit, 0), more))
-        self.held_places, self.offered = kept, dict(places)
+        requests, held_places = [], {}
+        for unit in {**self.held_places, **places, **in_use}:
+            # a place in use must stay named: the leader would lend it to another holder
+            places_out = in_use.get(unit, 0)
+            places_kept = min(self.held_places.get(unit, 0), max(places.get(unit, 0), places_out))
+            if places_kept:
+                held_places[unit] = places_kept
+            if places_kept or places_out or places.get(unit):
+                requests.append(
+                    LeaseRequest(unit, max(places_kept, places_out), max(places.get(unit, 0), places_out))
+                )
+        for unit, count in tokens.items():
+            requests.append(LeaseRequest(unit, self.granted_tokens.get(unit, 0), count))
+        self.held_places, self.wanted_places = held_places, dict(places)
         self.sequence += 1
-        self.version, self.asked_at, self.open = 0, now, True
-        self.renew_at = now + RENEW
-        return self.sequence, self.got, rows
+        self.version, self.requested_at, self.awaiting_answer = 0, now, True
+        self.renew_at = now + RENEW_INTERVAL
+        return self.sequence, self.answered_sequence, requests
 
     def accept_grant(
-        self, now: int, sequence: int, version: int, granted: dict[Unit, int], short: set[Unit], is_token
+        self, now: int, sequence: int, version: int, granted: dict[Unit, int], contended: set[Unit], is_token
     ) -> bool:
-        """Whether it was news."""
+        """Applies a grant; returns whether it was new."""
         if sequence != self.sequence or version <= self.version:
             return False
-        if sequence != self.got:
-            self.granted_tokens = {}  # not before: the next ask still says what was taken of the one before
-            self.slow += (now - self.began - self.slow) * 0.2
-        self.version, self.got, self.open, self.lost = version, sequence, False, 0
-        self.held_places = {unit: n for unit, n in granted.items() if not is_token(unit) and n}
-        self.places_until = self.asked_at + shorten_for_drift(LEASE_TICKS, MAX_CLOCK_DRIFT)
-        for unit, n in granted.items():
+        if sequence != self.answered_sequence:
+            self.granted_tokens = {}  # until now the next request had to report these
+            self.answer_delay += (now - self.first_requested_at - self.answer_delay) * 0.2
+        self.version, self.answered_sequence, self.awaiting_answer, self.unanswered = (
+            version,
+            sequence,
+            False,
+            0,
+        )
+        self.held_places = {
+            unit: granted_count
+            for unit, granted_count in granted.items()
+            if not is_token(unit) and granted_count
+        }
+        self.places_until = self.requested_at + shorten_for_drift(LEASE_TICKS, MAX_CLOCK_DRIFT)
+        for unit, granted_count in granted.items():
             if is_token(unit):
-                lot = self.tokens.setdefault(unit, {}).setdefault(
-                    sequence, [0, self.asked_at + shorten_for_drift(TOKEN_LIFETIME, MAX_CLOCK_DRIFT)]
+                lot = self.token_lots.setdefault(unit, {}).setdefault(
+                    sequence, [0, self.requested_at + shorten_for_drift(TOKEN_LIFETIME, MAX_CLOCK_DRIFT)]
                 )
-                lot[0] += n - self.granted_tokens.get(unit, 0)
-                self.granted_tokens[unit] = n
-        self.short = short
+                lot[0] += granted_count - self.granted_tokens.get(unit, 0)
+                self.granted_tokens[unit] = granted_count
+        self.contended = contended
         return True
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -1,8 +1,8 @@
-"""One process's part in the fleet's limits: the holder's wishes, read off the decisions; the keeper and a
-vote for the seat where it is named a voter; pure.
+"""One process's part in the fleet's limits: lease requests made from the demand seen by the decision core,
+and, in a voter, the leader election and the lending. No I/O.
 
-Stands beside the decisions as the verdicts do: `handle` hands events on and looks whether something is
-wanted, `tick` tells what the decisions may use. Messages go out by member's name.
+It wraps the decision core as the verdicts do: `handle` passes events on and requests leases where something
+is short; `tick` updates what the decision core may use. Messages are sent to members by name.
 """
 
 from collections import Counter
@@ -27,6 +27,7 @@
 from .lease_holder import LeaseHolder
 
 LEASE_REQUEST, LEASE_GRANT, NOT_LEADER = 27, 28, 29
+# elements of each message, by kind
 MESSAGE_LENGTHS = {
     election.VOTE_REQUEST: 4,
     election.VOTE: 5,
@@ -34,20 +35,26 @@
     LEASE_REQUEST: 6,
     LEASE_GRANT: 7,
     NOT_LEADER: 4,
-}  # and their lengths
-MAX_UNITS = 48  # in one ask, as one datagram holds; beyond, those longest unused are given up
-HOLD = 1_500  # ticks that a place is kept after its last use, while nobody waits for it
-GAP = 20  # ticks between two asks at least
-AHEAD, AHEAD_MOST = 2_500, TOKEN_LIFETIME * 3 // 4  # ticks of demand that are asked for; where asks are slow
-ROTATE = 4  # asks lost in a row after which another voter is asked
-LOOKS = 8  # of those who wait, for whom places are asked
-SCARCE = 5_000  # ticks after an ask for which its answer tells that there are none
-SPREAD = 3 * TICKS_PER_SECOND // 2  # come-back times of those refused: from a third of it to all of it
+}
+MAX_UNITS = 48  # in one request, as fits a datagram; beyond that, units unused for longest are given up
+IDLE_HOLD = 1_500  # ticks for which an unused place is kept while no other holder waits for it
+MIN_REQUEST_INTERVAL = 20  # ticks
+# Ticks of demand for which tokens are requested ahead, and the most where answers are slow.
+PREFETCH, MAX_PREFETCH = 2_500, TOKEN_LIFETIME * 3 // 4
+MAX_UNANSWERED = 4  # requests lost in a row after which another voter is asked
+WAITING_EXAMINED = 8  # waiting transactions for which places are requested
+SCARCITY_WINDOW = 5_000  # ticks for which an answer without places or tokens counts as current
+# Refused clients are told to retry after a random time between a third of this and all of it.
+RETRY_SPREAD = 3 * TICKS_PER_SECOND // 2
 FOREVER = 2**60
 
 
 class FleetLimits:
-    """`out(name, message)` sends; `live()` names the members; `position`, `proxies`: as this one was told."""
+    """Enforces the limits at one proxy; stands between the decision core and its driver.
+
+    `inner`: what `handle` passes events to. `send_to(name, message)` sends to a member; `live()` returns the
+    names of the live members. `position` and `proxies` are those of the start-up file.
+    """
 
     def __init__(
         self,
@@ -60,200 +67,211 @@
         position: int,
         proxies: int,
         hard_limit: int,
-        chance: Random,
-        out,
+        rng: Random,
+        send_to,
         live,
         now: int,
         say=lambda event, **fields: None,
     ) -> None:
         self.inner, self.proxy, self.limits = inner, proxy, {limit.id: limit for limit in limits}
         self.me, self.life, self.voters = me, life, voters
-        self.chance, self.out, self.live = chance, out, live
+        self.rng, self.send_to, self.live = rng, send_to, live
         self.position, self.proxies, self.say = position, proxies, say
         self.holder = LeaseHolder(now)
         self.allocator = LeaseAllocator(self.limits, hard_limit) if me in voters else None
         self.election = self.allocator and LeaderElection(
-            me, life, voters, TERM_TICKS, MAX_CLOCK_DRIFT, chance, self.send, live, now
+            me, life, voters, TERM_TICKS, MAX_CLOCK_DRIFT, rng, self.send, live, now
         )
-        self.since = 0  # of the seat, when the keeper last began
-        self.asks = ""  # who is asked
-        self.post_event = lambda event: None  # the way to the decisions, for whoever drives them
+        self.leading_since = 0  # `leader_since` when the allocator was last reset
+        self.leader_hint = ""  # voter that requests go to
+        self.post_event = lambda event: None  # set by the driver: queues an event
         self.now = now
         self.host_limit = next((n for n, limit in self.limits.items() if limit.kind == HOST), None)
-        self.firsts = [(n, limit) for n, limit in self.limits.items() if limit.kind == RATE]
-        self.further = next((n for n, limit in self.limits.items() if limit.kind == RETRIES), None)
-        self.keys = {(n, 0): (i.FIRST, n if limit.profiles else None) for n, limit in self.firsts}
-        if self.further is not None:
-            self.keys[self.further, 0] = i.FURTHER, None
-        self.units = {key: unit for unit, key in self.keys.items()}
-        self.ready, self.by_mark, self.marks, self.own = None, {}, {}, {}
-        self.peak_use: dict[Unit, tuple[int, int]] = {}  # most places in use lately, when; emptied by time
-        self.demand = {unit: 0.0 for unit in self.keys}  # tokens used a tick, of late
-        self.floors = {unit: 0.0 for unit in self.keys}  # tokens of the floor in hand
-        self.filled = dict.fromkeys(self.keys, now)
-        self.seen = dict.fromkeys(self.keys, 0)
-        self.told: dict[tuple, tuple] = {}  # of tokens, by key
-        self.told_hosts: dict[int, tuple] = {}  # as many as are listed
-        self.ticked = now
-        # guards against the hops of a process before this one, which may still be out at its own places
+        self.rate_limits = [(n, limit) for n, limit in self.limits.items() if limit.kind == RATE]
+        self.retry_limit = next((n for n, limit in self.limits.items() if limit.kind == RETRIES), None)
+        self.allowance_keys = {
+            (n, 0): (i.FIRST, n if limit.profiles else None) for n, limit in self.rate_limits
+        }
+        if self.retry_limit is not None:
+            self.allowance_keys[self.retry_limit, 0] = i.FURTHER, None
+        self.unit_by_key = {key: unit for unit, key in self.allowance_keys.items()}
+        self.listed_hosts, self.host_by_hash, self.hash_by_host, self.own_places = None, {}, {}, {}
+        self.peak_use: dict[Unit, tuple[int, int]] = {}  # (most places in use lately, when)
+        self.demand = {unit: 0.0 for unit in self.allowance_keys}  # recent tokens per tick
+        self.floor_tokens = {unit: 0.0 for unit in self.allowance_keys}  # unspent
+        self.floor_filled_at = dict.fromkeys(self.allowance_keys, now)
+        self.used_counted = dict.fromkeys(self.allowance_keys, 0)
+        self.published_tokens: dict[tuple, tuple] = {}  # last row by key
+        self.published_hosts: dict[int, tuple] = {}  # last row by host
+        self.last_tick_at = now
+        # attempts of a previous process may still run under this member's own places
         self.hard_limit, self.own_places_from = (
             hard_limit,
             now + lengthen_for_drift(hard_limit, MAX_CLOCK_DRIFT),
         )
-        self.refused = Counter()  # limit -> transactions rolled back while it was short
-        self.begun = self.left = False
-        self.publish_allowance(
-            now
-        )  # guards against hops before the first look: nothing is allowed until it is lent
+        self.refused = Counter()  # limit -> transactions rolled back while it was contended
+        self.started = self.left = False
+        # nothing is allowed until it is lent, also for attempts before the first tick
+        self.publish_allowance(now)
 
-    # ---- between the decisions and whoever drives them
+    # ---- events and effects of the decision core
 
-    def handle(self, now: int, event, seen: int | None = None) -> list:
+    def handle(self, now: int, event, received_until: int | None = None) -> list:
         self.now = now
-        if isinstance(event, i.TxArrived):  # demand, whether or not it is met
-            unit = self.units.get(self.proxy.allowed.key((i.FIRST, event.profile)))
+        if isinstance(event, i.TxArrived):  # counts as demand whether or not it is met
+            unit = self.unit_by_key.get(self.proxy.allowed.key((i.FIRST, event.profile)))
             if unit is not None:
                 self.demand[unit] += 1 / TICKS_PER_SECOND
-        effects = self.inner.handle(now, event, seen)
-        if self.holder.short and any(isinstance(effect, i.RollBack) for effect in effects):
-            short = {unit[0] for unit in self.holder.short}
+        effects = self.inner.handle(now, event, received_until)
+        if self.holder.contended and any(isinstance(effect, i.RollBack) for effect in effects):
+            short = {unit[0] for unit in self.holder.contended}
             self.refused.update(dict.fromkeys(short, sum(isinstance(e, i.RollBack) for e in effects)))
-        if self.proxy.line or self.holder.short and isinstance(event, i.HopEnded):
-            self.ask(now)
+        if self.proxy.line or self.holder.contended and isinstance(event, i.HopEnded):
+            self.request_lease(now)
         return effects
 
     def tick(self, now: int) -> None:
-        """Several times a second."""
-        passed, self.ticked, self.now = now - self.ticked, now, now
+        """Call several times a second."""
+        elapsed, self.last_tick_at, self.now = now - self.last_tick_at, now, now
         if self.election is not None:
             self.election.tick(now)
-            if self.keeps(now):
-                self.answer(self.allocator.tick(now))
-        for unit in self.keys:
-            self.spent(now, unit)
-            self.demand[unit] *= max(0.0, 1 - passed / TICKS_PER_SECOND)
+            if self.acting_as_leader(now):
+                self.send_grants(self.allocator.tick(now))
+        for unit in self.allowance_keys:
+            self.account_usage(now, unit)
+            self.demand[unit] *= max(0.0, 1 - elapsed / TICKS_PER_SECOND)
         self.publish_allowance(now)
-        self.ask(now)
-        if self.proxy.line:  # guards against entries of those that are gone, where no hop ends
+        self.request_lease(now)
+        # without this, entries of clients that are gone stay queued while no attempt ends
+        if self.proxy.line:
             self.post_event(i.Allowed((), (), self.proxy.allowed.later))
 
     def activate(self, now: int) -> None:
-        """It is the member from now on; a process before it was until now."""
+        """Call when this process takes over as the member from a previous process."""
         self.own_places_from, self.left = now + lengthen_for_drift(self.hard_limit, MAX_CLOCK_DRIFT), False
         if self.election is not None:
             self.election.silent_until = self.election.next_action_at = now + TERM_TICKS
 
     def leave(self, now: int) -> None:
-        """Another process is this member from now on: what is out may end, nothing more goes out."""
+        """Call when another process takes over as this member: only running attempts go on."""
         self.left = True
         self.holder.release_all()
         if self.election is not None:
             self.election.release_votes(now)
-        self.floors = dict.fromkeys(self.floors, 0.0)
+        self.floor_tokens = dict.fromkeys(self.floor_tokens, 0.0)
         self.publish_allowance(now)
 
-    # ---- the hosts' units
+    # ---- units of hosts
 
     def refresh_hosts(self) -> None:
-        if self.ready is not self.proxy.ready and self.host_limit is not None:
-            limit, self.ready = self.limits[self.host_limit], self.proxy.ready
-            self.marks = {server.id: mark_of(server) for server in self.ready}
-            self.by_mark = {mark: host for host, mark in self.marks.items()}
-            self.own = {
-                host: self.own[host]
-                if host in self.own
-                else limit.own_places_at(mark, self.position, self.proxies)
-                for host, mark in self.marks.items()
+        if self.listed_hosts is not self.proxy.ready and self.host_limit is not None:
+            limit, self.listed_hosts = self.limits[self.host_limit], self.proxy.ready
+            self.hash_by_host = {server.id: host_hash(server) for server in self.listed_hosts}
+            self.host_by_hash = {hash_of_host: host for host, hash_of_host in self.hash_by_host.items()}
+            self.own_places = {
+                host: self.own_places[host]
+                if host in self.own_places
+                else limit.own_places_at(hash_of_host, self.position, self.proxies)
+                for host, hash_of_host in self.hash_by_host.items()
             }
-            for host, own in self.own.items():
+            for host, own in self.own_places.items():
                 if own:
-                    self.told_hosts.setdefault(host, (0, 0, 0))
+                    self.published_hosts.setdefault(host, (0, 0, 0))
 
     def host_unit(self, host: int) -> Unit:
-        return self.host_limit, self.marks[host]
+        return self.host_limit, self.hash_by_host[host]
 
-    def mine(self, now: int, host: int) -> int:
-        """Its own places there, which need no message."""
-        return self.own.get(host, 0) if now >= self.own_places_from and not self.left else 0
+    def own_places_now(self, now: int, host: int) -> int:
+        """Returns this proxy's floor places at a host, which need no message."""
+        return self.own_places.get(host, 0) if now >= self.own_places_from and not self.left else 0
 
-    # ---- what is wanted
+    # ---- requests
 
     def places_in_use(self, now: int) -> dict[Unit, int]:
-        """Lent places with a hop out, by unit."""
-        # guards against giving up places with a hop out at hosts that have left the list meanwhile
+        """Returns the lent places under a running attempt, by unit."""
+        # includes hosts that left the list meanwhile: their places are still in use
         servers = {server.id: server for server, _, _ in self.proxy.flying.values()}
         return {
-            (self.host_limit, mark_of(server)): len(server.out) - own
+            (self.host_limit, host_hash(server)): len(server.out) - own
             for server in servers.values()
-            if len(server.out) > (own := self.mine(now, server.id))
+            if len(server.out) > (own := self.own_places_now(now, server.id))
         }
 
-    def wishes(self, now: int, used: dict[Unit, int]) -> tuple[dict[Unit, int], dict[Unit, int]]:
-        """Places, and tokens more, that would be of use."""
+    def wanted_leases(self, now: int, used: dict[Unit, int]) -> tuple[dict[Unit, int], dict[Unit, int]]:
+        """Returns the places, and the additional tokens, that this proxy could use now."""
         proxy, places, tokens = self.proxy, {}, {}
-        waiting = [tx for _, _, n in proxy.line[:LOOKS] if (tx := proxy.txs.get(n)) and tx.state == "waiting"]
+        waiting = [
+            tx
+            for _, _, n in proxy.line[:WAITING_EXAMINED]
+            if (tx := proxy.txs.get(n)) and tx.state == "waiting"
+        ]
         if self.host_limit is not None:
             for unit, n in used.items():
                 if n >= self.peak_use.get(unit, (0, 0))[0]:
                     self.peak_use[unit] = n, now
-            for unit, (_, at) in list(self.peak_use.items()):
-                if now - at > HOLD:
+            for unit, (_, last_used_at) in list(self.peak_use.items()):
+                if now - last_used_at > IDLE_HOLD:
                     self.peak_use.pop(unit)
                     if used.get(unit):
                         self.peak_use[unit] = used[unit], now
             places = {
-                unit: used.get(unit, 0) if unit in self.holder.short else peak
+                unit: used.get(unit, 0) if unit in self.holder.contended else peak
                 for unit, (peak, _) in self.peak_use.items()
-                if unit[1] in self.by_mark
+                if unit[1] in self.host_by_hash
             }
             places = {unit: n for unit, n in places.items() if n}
             for tx in waiting:
-                for host in self.candidates(tx):
+                for host in self.hosts_lacking_place(tx):
                     unit = self.host_unit(host)
                     places[unit] = min(
                         max(places.get(unit, 0), used.get(unit, 0)) + 1,
                         int(self.limits[self.host_limit].lendable()),
                     )
-            # what is in use has to be named in the same datagram
-            free = sorted(places.keys() - used.keys(), key=lambda u: self.peak_use.get(u, (0, now))[1])
-            for unit in free[: max(0, len(free) - max(0, MAX_UNITS - len(used)))]:
+            # places in use must fit into the same datagram
+            droppable = sorted(
+                places.keys() - used.keys(),
+                key=lambda u: self.peak_use.get(u, (0, now))[1],
+            )
+            for unit in droppable[: max(0, len(droppable) - max(0, MAX_UNITS - len(used)))]:
                 del places[unit]
-        for unit, key in self.keys.items():
-            wait = sum(self.proxy.allowed.key(tx.grant) == key for tx in waiting)
-            ahead = max(AHEAD, min(AHEAD_MOST, 2 * self.holder.slow))
-            more = ceil(ahead * self.demand[unit]) + wait - self.holder.usable_tokens(now, unit)[0]
-            if more > 0:
-                tokens[unit] = more
+        for unit, key in self.allowance_keys.items():
+            waiting_count = sum(self.proxy.allowed.key(tx.grant) == key for tx in waiting)
+            prefetch = max(PREFETCH, min(MAX_PREFETCH, 2 * self.holder.answer_delay))
+            missing = (
+                ceil(prefetch * self.demand[unit]) + waiting_count - self.holder.usable_tokens(now, unit)[0]
+            )
+            if missing > 0:
+                tokens[unit] = missing
         return places, tokens
 
-    def candidates(self, tx) -> list[int]:
-        """The first two hosts for its key that only a place is wanting of."""
-        found, proxy = [], self.proxy
+    def hosts_lacking_place(self, tx) -> list[int]:
+        """Returns the first two hosts for a transaction's key that lack nothing but a place."""
+        hosts, proxy = [], self.proxy
         for server in proxy.ranking(tx.key):
             if (
-                server.id in self.marks
+                server.id in self.hash_by_host
                 and server.id not in tx.tried
                 and proxy.open_to(tx, server.line)
                 and (not proxy.away(server, "ban", "rest") and proxy.now >= server.shut)
             ):
-                found.append(server.id)
-                if len(found) == 2:
+                hosts.append(server.id)
+                if len(hosts) == 2:
                     break
-        return found
+        return hosts
 
-    def ask(self, now: int) -> None:
-        if self.left or now - self.holder.asked_at < GAP and self.holder.sequence:
+    def request_lease(self, now: int) -> None:
+        if self.left or now - self.holder.requested_at < MIN_REQUEST_INTERVAL and self.holder.sequence:
             return
         self.refresh_hosts()
         used = self.places_in_use(now) if self.host_limit is not None else {}
-        places, tokens = self.wishes(now, used)
+        places, tokens = self.wanted_leases(now, used)
         if not self.holder.request_due(now, places, tokens):
             return
-        name = self.whom(now)
+        name = self.leader_to_ask(now)
         if not name:
             return
-        sequence, got, rows = self.holder.request(now, places, tokens, used)
-        self.publish_allowance(now)  # first it gives up, then it says so
+        sequence, answered_sequence, rows = self.holder.request(now, places, tokens, used)
+        self.publish_allowance(now)  # places are given up before the request says so
         self.send(
             name,
             [
@@ -261,15 +279,15 @@
                 self.me,
                 self.life,
                 sequence,
-                got,
+                answered_sequence,
                 [[*row.unit, row.holds, row.want] for row in rows],
             ],
         )
 
     def view(self, now: int) -> list[dict]:
-        """For operators: each limit, this proxy's part of it, how old that is, and what it refused."""
+        """Returns rows for operators: each limit, this proxy's part, its age, and what was refused."""
         self.refresh_hosts()
-        found = []
+        rows = []
         for n, limit in self.limits.items():
             row = {
                 "limit": limit.name,
@@ -279,108 +297,119 @@
                 "over": limit.over,
                 "age_ms": max(0, self.holder.lease_age(now)) // 10,
                 "stale_ms": limit.max_staleness() // 10,
-                "keeper": self.asks,
-                "short": sum(unit[0] == n for unit in self.holder.short),
+                "keeper": self.leader_hint,
+                "short": sum(unit[0] == n for unit in self.holder.contended),
                 "refused": self.refused[n],
             }
             if limit.counts_places:
                 lent = self.holder.held_places if now < self.holder.places_until else {}
-                found.append(
+                rows.append(
                     {
                         **row,
-                        "own": sum(self.own.values()),
+                        "own": sum(self.own_places.values()),
                         "lent": sum(lent.values()),
                         "in_use": len(self.proxy.flying),
-                        "hosts": len(self.own),
+                        "hosts": len(self.own_places),
                     }
                 )
             else:
-                self.spent(now, (n, 0))
-                found.append(
+                self.account_usage(now, (n, 0))
+                rows.append(
                     {
                         **row,
-                        "own": int(self.floors[n, 0]),
+                        "own": int(self.floor_tokens[n, 0]),
                         "lent": self.holder.usable_tokens(now, (n, 0))[0],
                         "a_second": round(self.demand[n, 0] * TICKS_PER_SECOND, 1),
                     }
                 )
-        return found
-
-    def whom(self, now: int) -> str:
-        """The keeper, as far as it is known; else the voters in turn."""
-        if self.election is not None and (known := self.election.leader(now)):
-            return known
-        living = self.live()
-        voters = [name for name in self.voters if name in living or name == self.me]
-        if self.holder.lost >= ROTATE or self.asks not in voters:
-            at = voters.index(self.asks) + 1 if self.asks in voters else 0
-            self.asks = voters[at % len(voters)] if voters else ""
-        return self.asks
-
-    # ---- what the decisions may use
-
-    def spent(self, now: int, unit: Unit) -> None:
-        """What they have used since they were told. The floor's bucket fills first: who went on after a stop
-        has used what it was told before, and must not find it there a second time."""
-        key, limit = self.keys[unit], self.limits[unit[0]]
+        return rows
+
+    def leader_to_ask(self, now: int) -> str:
+        """Returns the leader if it is known, else the voters in turn; "" if no voter is alive."""
+        if self.election is not None and (leader := self.election.leader(now)):
+            return leader
+        live = self.live()
+        voters = [name for name in self.voters if name in live or name == self.me]
+        if self.holder.unanswered >= MAX_UNANSWERED or self.leader_hint not in voters:
+            index = voters.index(self.leader_hint) + 1 if self.leader_hint in voters else 0
+            self.leader_hint = voters[index % len(voters)] if voters else ""
+        return self.leader_hint
+
+    # ---- allowance of the decision core
+
+    def account_usage(self, now: int, unit: Unit) -> None:
+        """Counts what was used since the last call.
+
+        The floor's bucket is refilled first: a process resumed after a stop has already used what was
+        published before, and must not find it in the bucket a second time.
+        """
+        key, limit = self.allowance_keys[unit], self.limits[unit[0]]
         rate, depth = limit.own_token_rate(self.proxies)
-        far = limit.over == BOUNDED and now < self.holder.places_until
-        more = 0 if far or self.left else rate * (now - self.filled[unit])
-        self.floors[unit] = min(depth, self.floors[unit] + more)
-        self.filled[unit] = now
-        used = self.proxy.allowed.used.get(key, 0) - self.seen[unit]
-        if used > 0:
-            self.seen[unit] += used
+        leased = limit.over == BOUNDED and now < self.holder.places_until
+        refill = 0 if leased or self.left else rate * (now - self.floor_filled_at[unit])
+        self.floor_tokens[unit] = min(depth, self.floor_tokens[unit] + refill)
+        self.floor_filled_at[unit] = now
+        newly_used = self.proxy.allowed.used.get(key, 0) - self.used_counted[unit]
+        if newly_used > 0:
+            self.used_counted[unit] += newly_used
             if key[0] == i.FURTHER:
-                self.demand[unit] += used / TICKS_PER_SECOND
-            floor = min(used, int(self.floors[unit]))
-            self.floors[unit] -= floor
-            self.holder.spend(now, unit, used - floor)
+                self.demand[unit] += newly_used / TICKS_PER_SECOND
+            floor = min(newly_used, int(self.floor_tokens[unit]))
+            self.floor_tokens[unit] -= floor
+            self.holder.spend(now, unit, newly_used - floor)
 
     def publish_allowance(self, now: int) -> None:
-        """Tells them what has changed."""
+        """Passes changes of the allowance to the decision core."""
         self.refresh_hosts()
         rows, same, short = [], (), False
-        if not self.begun:
-            self.begun = True
+        if not self.started:
+            self.started = True
             rows += [((i.AT_HOST, None), 0, 0, FOREVER)] if self.host_limit is not None else []
             same = tuple(
-                ((i.FIRST, profile), (i.FIRST, n)) for n, limit in self.firsts for profile in limit.profiles
+                ((i.FIRST, profile), (i.FIRST, n))
+                for n, limit in self.rate_limits
+                for profile in limit.profiles
             )
         if self.host_limit is not None:
             lent, until = self.holder.held_places, self.holder.places_until
-            now_lent = {self.by_mark[unit[1]]: n for unit, n in lent.items() if unit[1] in self.by_mark}
-            for host in {**now_lent, **self.told_hosts}:
-                row = (self.mine(now, host), now_lent.get(host, 0), until if host in now_lent else 0)
-                if self.told_hosts.get(host) != row:
+            lent_by_host = {
+                self.host_by_hash[unit[1]]: n for unit, n in lent.items() if unit[1] in self.host_by_hash
+            }
+            for host in {**lent_by_host, **self.published_hosts}:
+                row = (
+                    self.own_places_now(now, host),
+                    lent_by_host.get(host, 0),
+                    until if host in lent_by_host else 0,
+                )
+                if self.published_hosts.get(host) != row:
                     rows.append(((i.AT_HOST, host), *row))
-                if any(row[:2]) or host in self.own:
-                    self.told_hosts[host] = row
+                if any(row[:2]) or host in self.own_places:
+                    self.published_hosts[host] = row
                 else:
-                    self.told_hosts.pop(host, None)
-        for unit, key in self.keys.items():
-            self.spent(now, unit)
+                    self.published_hosts.pop(host, None)
+        for unit, key in self.allowance_keys.items():
+            self.account_usage(now, unit)
             count, until = self.holder.usable_tokens(now, unit)
-            row = int(self.floors[unit]), count, until
-            scarce = unit in self.holder.short and now - self.holder.asked_at < SCARCE
+            row = int(self.floor_tokens[unit]), count, until
+            scarce = unit in self.holder.contended and now - self.holder.requested_at < SCARCITY_WINDOW
             short |= scarce and not any(row[:2])
-            if self.told.get(key) != row or self.seen[unit]:
-                self.told[key], self.seen[unit] = row, 0
+            if self.published_tokens.get(key) != row or self.used_counted[unit]:
+                self.published_tokens[key], self.used_counted[unit] = row, 0
                 rows.append((key, *row))
-        later = int(SPREAD * (1 + 2 * self.chance.random()) / 3) if short else 0
-        if rows or same or bool(later) != bool(self.proxy.allowed.later):
-            # at once, not through a queue: what is given up must not be used once the keeper is told
-            self.proxy.allowed.tell(i.Allowed(tuple(rows), same, later))
-            self.post_event(i.Allowed((), (), later))
+        retry_after = int(RETRY_SPREAD * (1 + 2 * self.rng.random()) / 3) if short else 0
+        if rows or same or bool(retry_after) != bool(self.proxy.allowed.later):
+            # applied at once, not queued: what is given up must not be used once the leader is told
+            self.proxy.allowed.tell(i.Allowed(tuple(rows), same, retry_after))
+            self.post_event(i.Allowed((), (), retry_after))
 
     # ---- messages
 
-    def keeps(self, now: int) -> bool:
-        """Whether the seat is this process's at this moment; its keeper begins anew with each time."""
+    def acting_as_leader(self, now: int) -> bool:
+        """Whether this process is leader now; resets the allocator at the start of each term of office."""
         if not self.election.is_leader(now):
             return False
-        if self.since != self.election.leader_since:
-            self.since = self.election.leader_since
+        if self.leading_since != self.election.leader_since:
+            self.leading_since = self.election.leader_since
             self.allocator.start_term(now)
             self.say("keeper", full_in_ms=self.allocator.grant_lifetime // 10)
         return True
@@ -389,10 +418,10 @@
         if name == self.me:
             self.received(self.now, message)
         else:
-            self.out(name, message)
+            self.send_to(name, message)
 
-    def answer(self, answers: list[tuple]) -> None:
-        for (name, life), sequence, version, granted, short in answers:
+    def send_grants(self, grants: list[tuple]) -> None:
+        for (name, life), sequence, version, granted, short in grants:
             self.send(
                 name,
                 [
@@ -407,59 +436,61 @@
             )
 
     def received(self, now: int, message: list) -> None:
-        """A message of a member, of the length in MESSAGE_LENGTHS; unsound parts count for nothing."""
+        """Handles a message of a member, of the length in MESSAGE_LENGTHS; skips malformed rows."""
         kind, self.now = message[0], now
         if kind == LEASE_REQUEST:
-            return self.needed(now, message)
+            return self.lease_requested(now, message)
         if kind == LEASE_GRANT:
-            return self.parted(now, message)
+            return self.lease_granted(now, message)
         if kind == NOT_LEADER:
-            _, _, sequence, keeper = message
-            if sequence == self.holder.sequence and keeper in self.voters:
-                self.asks = keeper
+            _, _, sequence, leader = message
+            if sequence == self.holder.sequence and leader in self.voters:
+                self.leader_hint = leader
             return None
         if self.election is not None:
             self.election.received(now, message)
         return None
 
-    def needed(self, now: int, message: list) -> None:
-        _, name, life, sequence, got, rows = message
+    def lease_requested(self, now: int, message: list) -> None:
+        _, name, life, sequence, answered_sequence, rows = message
         if self.election is None:
             return
-        if not self.keeps(now):
-            holder = self.election.leader(now)
-            self.send(name, [NOT_LEADER, self.me, sequence, holder])
+        if not self.acting_as_leader(now):
+            leader = self.election.leader(now)
+            self.send(name, [NOT_LEADER, self.me, sequence, leader])
             return
-        sound = [
-            LeaseRequest((row[0], row[1]), row[2], row[3]) for row in rows[: 2 * MAX_UNITS] if whole(row, 4)
+        requests = [
+            LeaseRequest((row[0], row[1]), row[2], row[3])
+            for row in rows[: 2 * MAX_UNITS]
+            if are_counts(row, 4)
         ]
-        if whole([life, sequence, got], 3):
-            self.answer(self.allocator.request(now, (name, life), sequence, got, sound))
+        if are_counts([life, sequence, answered_sequence], 3):
+            self.send_grants(self.allocator.request(now, (name, life), sequence, answered_sequence, requests))
 
-    def parted(self, now: int, message: list) -> None:
+    def lease_granted(self, now: int, message: list) -> None:
         _, name, life, sequence, version, rows, short = message
-        if life != self.life or not whole([sequence, version], 2):
+        if life != self.life or not are_counts([sequence, version], 2):
             return
-        granted = {(row[0], row[1]): row[2] for row in rows if whole(row, 3) and row[0] in self.limits}
+        granted = {(row[0], row[1]): row[2] for row in rows if are_counts(row, 3) and row[0] in self.limits}
         if self.holder.accept_grant(
             now,
             sequence,
             version,
             granted,
-            {tuple(u) for u in short if whole(u, 2)},
+            {tuple(u) for u in short if are_counts(u, 2)},
             lambda unit: not self.limits[unit[0]].counts_places,
         ):
-            self.asks = name
+            self.leader_hint = name
             self.publish_allowance(now)
 
 
-def mark_of(server) -> int:
-    """Of a host, the same at every proxy; 0 is for tokens."""
+def host_hash(server) -> int:
+    """Returns 32 bits of the host's hash, the same at every proxy and never 0, which stands for tokens."""
     return server.line.hash & 0xFFFFFFFF or 1
 
 
-def whole(row, length: int) -> bool:
-    """So many whole numbers from 0 on."""
+def are_counts(row, length: int) -> bool:
+    """Whether a row is a list of `length` non-negative integers below 2**62."""
     return (
         isinstance(row, list)
         and len(row) == length
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,5 +1,7 @@
-"""Limits of the whole fleet: what ships under random schedules and in every small world, judged from outside;
-each promise with the bug planted that would break it."""
+"""Fleet-wide limits: random schedules of faults, every state of small elections, and unit tests.
+
+Each guarantee is also checked against a variant with the fault planted that would break it.
+"""
 
 import tempfile
 import unittest
@@ -34,11 +36,11 @@
 from tests.fake import FakeHost, Stage
 
 PLACES, TOKENS = Limit("places", HOST, 3), Limit("rate", RATE, 40, 60)
-UNIT, FLOW = (PLACES.id, 7), (TOKENS.id, 0)
+PLACES_UNIT, TOKENS_UNIT = (PLACES.id, 7), (TOKENS.id, 0)
 
 
-class Hasty(Member):
-    """A keeper that does not wait for what another has lent."""
+class LeaderWithoutWaiting(Member):
+    """Planted fault: a new leader does not wait until earlier leases have expired."""
 
     def __init__(self, run, n):
         super().__init__(run, n)
@@ -46,49 +48,58 @@
             self.limits.allocator.grant_lifetime = 0
 
 
-class AddsTwice(Member):
-    """Takes a later version of an answer for more of the same."""
+class DoubleCountingHolder(Member):
+    """Planted fault: a holder adds the tokens of a later version of an answer to those of the first."""
 
     def __init__(self, run, n):
         super().__init__(run, n)
         holder, accept_grant = self.limits.holder, self.limits.holder.accept_grant
 
-        def again(now, *given):
+        def accept_and_forget(now, *args):
             holder.granted_tokens = {}
-            return accept_grant(now, *given)
+            return accept_grant(now, *args)
 
-        holder.accept_grant = again
+        holder.accept_grant = accept_and_forget
 
 
-class SaysFirst(Member):
-    """Says that it gives up, and does so a little later."""
+class ReportsBeforeGivingUp(Member):
+    """Planted fault: a holder gives places up only after its request has said so."""
 
     def __init__(self, run, n):
         super().__init__(run, n)
-        give = self.limits.publish_allowance
-        self.limits.publish_allowance = lambda now: run.later(30, give, now)
+        publish = self.limits.publish_allowance
+        self.limits.publish_allowance = lambda now: run.later(30, publish, now)
 
 
-class Bold(LeaderElection):
-    """A voter that has forgotten what it voted, and votes."""
+class VoterWithoutSilence(LeaderElection):
+    """Planted fault: a restarted voter that has forgotten its vote votes at once."""
 
-    def __init__(self, *told):
-        super().__init__(*told)
+    def __init__(self, *args):
+        super().__init__(*args)
         self.silent_until = 0
 
 
 class Schedules(unittest.TestCase):
-    def test_no_host_and_no_window_is_over_and_nothing_stays_idle(self):
-        for seed in (*range(10), 36, 59, 154, 432):  # the last of them broke on the way
+    def test_no_limit_is_exceeded_and_free_capacity_is_used(self):
+        for seed in (*range(10), 36, 59, 154, 432):  # the last four failed during development
             self.assertEqual(Run(seed).play(), [], seed)
 
-    def test_what_would_break_it_is_found(self):
-        for make, rule in ((Hasty, "over"), (AddsTwice, "spent"), (SaysFirst, "over")):
-            found = (wrong.rule for seed in range(60) for wrong in Run(seed, make, ("bad",)).play())
-            self.assertEqual(next(found, None), rule, make)
+    def test_planted_faults_are_detected(self):
+        for member_class, rule in (
+            (LeaderWithoutWaiting, "over"),
+            (DoubleCountingHolder, "spent"),
+            (ReportsBeforeGivingUp, "over"),
+        ):
+            found = (
+                violation.rule for seed in range(60) for violation in Run(seed, member_class, ("bad",)).play()
+            )
+            self.assertEqual(next(found, None), rule, member_class)
+
+    def test_own_places_wait_until_attempts_of_the_previous_process_are_over(self):
+        """A process restarted at once used its own places beside running attempts of the process before it.
 
-    def test_own_places_wait_until_the_hops_of_the_life_before_are_over(self):
-        """Seed 432 of the schedules: started again at once, it took a host of three places to four."""
+        With seed 432 of the schedules this brought a host with three places to four attempts.
+        """
         run = next(run for run in map(Run, range(20)) if int(run.limits[0].floor * run.limits[0].amount))
         members = [Member(run, n) for n in range(run.size)]
 
@@ -106,130 +117,141 @@
         self.assertEqual(own(), int(run.limits[0].floor * run.limits[0].amount))
 
 
-class Worlds(unittest.TestCase):
-    def test_no_state_of_a_small_world_has_two_holders(self):
+class SmallElections(unittest.TestCase):
+    def test_no_state_of_a_small_election_has_two_leaders(self):
         states, bad = Explorer(steps=2, claims=1, restarts=0).run()
         self.assertIsNone(bad)
         self.assertGreater(states, 10_000)
 
-    def test_a_voter_that_forgets_and_votes_is_found(self):
-        self.assertIsNotNone(Explorer(steps=1, claims=1, restarts=1, make=Bold).run()[1])
+    def test_a_restarted_voter_that_votes_at_once_is_detected(self):
+        self.assertIsNotNone(Explorer(steps=1, claims=1, restarts=1, make=VoterWithoutSilence).run()[1])
 
-    def test_a_holder_without_the_clocks_margin_is_found(self):
-        with unittest.mock.patch("basalthook.fleet.election.shorten_for_drift", lambda ticks, loss: ticks):
+    def test_a_leader_without_the_margin_for_clock_drift_is_detected(self):
+        with unittest.mock.patch("basalthook.fleet.election.shorten_for_drift", lambda ticks, drift: ticks):
             self.assertIsNotNone(Explorer(steps=3, claims=1, restarts=0).run()[1])
 
     @given(st.integers(1, 10**6), st.floats(0, 0.3))
-    def test_what_a_slow_holder_counts_is_over_before_a_fast_keeper_has_counted(self, ticks, loss):
-        self.assertLessEqual(shorten_for_drift(ticks, loss) / (1 - loss), ticks / (1 + loss) * (1 + 1e-12))
+    def test_a_shortened_duration_on_a_slow_clock_ends_before_the_full_one_on_a_fast_clock(
+        self, ticks, drift
+    ):
+        self.assertLessEqual(shorten_for_drift(ticks, drift) / (1 - drift), ticks / (1 + drift) * (1 + 1e-12))
 
 
-class Many(unittest.TestCase):
-    """A proxy before hundreds of hosts, and one that has left the list."""
+class LargeHostLists(unittest.TestCase):
+    """A proxy with hundreds of hosts, and with a host that left the list."""
 
     def setUp(self):
-        self.run, self.asked = Run(1), []
-        self.run.hosts, self.run.send = 200, lambda n, name, message: self.asked.append(message)
+        self.run, self.sent_messages = Run(1), []
+        self.run.hosts, self.run.send = 200, lambda n, name, message: self.sent_messages.append(message)
         self.member = Member(self.run, 1)
         self.limits, self.proxy = self.member.limits, self.member.proxy
 
-    def out(self, host):
+    def add_attempt(self, host):
         server = self.proxy.servers[host]
         server.out[host] = self.proxy.flying[host] = server, 0, 0
 
-    def test_all_that_is_in_use_is_named_and_an_ask_and_its_answer_fit_a_datagram(self):
+    def test_requests_name_all_places_in_use_and_fit_a_datagram_like_their_answers(self):
         now = self.run.clock(1)
         for host in range(120):
             self.limits.peak_use[self.limits.host_unit(host)] = 1, now - host
         for host in range(100, 130):
-            self.out(host)
+            self.add_attempt(host)
         self.limits.tick(now + 100)
-        (need,) = [message for message in self.asked if message[0] == LEASE_REQUEST]
-        marks = {row[1] for row in need[5] if row[1]}
-        self.assertEqual(len(marks), MAX_UNITS)
-        self.assertLessEqual({1000 + host for host in range(100, 130)}, marks)
-        rows = need[5]
-        part = [LEASE_GRANT, "p0", 1, 2**40, 9, [[*row[:2], 4] for row in rows], [row[:2] for row in rows]]
+        (request,) = [message for message in self.sent_messages if message[0] == LEASE_REQUEST]
+        host_hashes = {row[1] for row in request[5] if row[1]}
+        self.assertEqual(len(host_hashes), MAX_UNITS)
+        self.assertLessEqual({1000 + host for host in range(100, 130)}, host_hashes)
+        rows = request[5]
+        grant = [LEASE_GRANT, "p0", 1, 2**40, 9, [[*row[:2], 4] for row in rows], [row[:2] for row in rows]]
         self.assertLess(
-            max(len(wire.encode(b"k" * 16, message)) for message in (need, part)), wire.MAX_DATAGRAM
+            max(len(wire.encode(b"k" * 16, message)) for message in (request, grant)), wire.MAX_DATAGRAM
         )
 
     def test_a_place_in_use_at_a_host_that_left_the_list_is_not_given_up(self):
-        self.out(7)
+        self.add_attempt(7)
         self.proxy.ready = self.proxy.ready[:5]
         self.limits.refresh_hosts()
         self.assertEqual(self.limits.places_in_use(self.run.clock(1)), {(self.limits.host_limit, 1007): 1})
 
 
-class Lending(unittest.TestCase):
+class Leases(unittest.TestCase):
     def setUp(self):
         self.allocator = LeaseAllocator({limit.id: limit for limit in (PLACES, TOKENS)}, 1_000)
         self.allocator.start_term(0)
         self.now = self.allocator.grant_lifetime
 
-    def ask(self, who, sequence, *rows, got=0):
-        """{who: granted} of all that are answered."""
-        told = self.allocator.request(self.now, (who, 1), sequence, got, [LeaseRequest(*row) for row in rows])
-        return {name: granted for (name, _), _, _, granted, _ in told}
+    def request(self, name, sequence, *rows, got=0):
+        """Returns {name: granted} for all holders that are answered."""
+        answers = self.allocator.request(
+            self.now, (name, 1), sequence, got, [LeaseRequest(*row) for row in rows]
+        )
+        return {name: granted for (name, _), _, _, granted, _ in answers}
 
-    def test_a_new_keeper_lends_nothing_beyond_what_is_held_until_that_is_over(self):
+    def test_a_new_leader_lends_only_what_is_held_until_earlier_leases_expire(self):
         self.now = 10
-        self.assertEqual(self.ask("a", 1, (UNIT, 2, 3)), {"a": {UNIT: 2}})
-        self.assertEqual(self.ask("b", 1, (UNIT, 0, 1)), {"b": {UNIT: 0}})
+        self.assertEqual(self.request("a", 1, (PLACES_UNIT, 2, 3)), {"a": {PLACES_UNIT: 2}})
+        self.assertEqual(self.request("b", 1, (PLACES_UNIT, 0, 1)), {"b": {PLACES_UNIT: 0}})
         self.now = self.allocator.grant_lifetime
-        told = self.allocator.tick(self.now)
-        self.assertEqual([(who[0], granted[UNIT]) for who, _, _, granted, _ in told], [("a", 3)])
-
-    def test_who_waits_first_gets_first_what_another_gives_back(self):
-        self.assertEqual(self.ask("a", 1, (UNIT, 0, 3)), {"a": {UNIT: 3}})
-        self.ask("b", 1, (UNIT, 0, 1))
-        self.ask("c", 1, (UNIT, 0, 1))
-        self.assertEqual(self.ask("a", 2, (UNIT, 2, 2)), {"a": {UNIT: 2}, "b": {UNIT: 1}})
-        self.assertEqual(self.ask("a", 3), {"a": {}, "c": {UNIT: 1}})
-
-    def test_fewer_granted_counts_as_more_until_the_holder_has_said_so(self):
-        self.ask("a", 1, (UNIT, 0, 3))
-        self.assertEqual(self.ask("a", 2, (UNIT, 3, 1)), {"a": {UNIT: 1}})  # its answer may be lost
-        self.assertEqual(self.ask("b", 1, (UNIT, 0, 1)), {"b": {UNIT: 0}})
-
-    def test_tokens_of_a_lost_answer_come_back_and_taken_ones_do_not(self):
+        answers = self.allocator.tick(self.now)
+        self.assertEqual(
+            [(holder_id[0], granted[PLACES_UNIT]) for holder_id, _, _, granted, _ in answers], [("a", 3)]
+        )
+
+    def test_returned_places_go_to_the_holder_that_waits_longest(self):
+        self.assertEqual(self.request("a", 1, (PLACES_UNIT, 0, 3)), {"a": {PLACES_UNIT: 3}})
+        self.request("b", 1, (PLACES_UNIT, 0, 1))
+        self.request("c", 1, (PLACES_UNIT, 0, 1))
+        self.assertEqual(
+            self.request("a", 2, (PLACES_UNIT, 2, 2)), {"a": {PLACES_UNIT: 2}, "b": {PLACES_UNIT: 1}}
+        )
+        self.assertEqual(self.request("a", 3), {"a": {}, "c": {PLACES_UNIT: 1}})
+
+    def test_a_smaller_grant_frees_places_only_once_the_holder_confirms_it(self):
+        self.request("a", 1, (PLACES_UNIT, 0, 3))
+        # the answer to this request may be lost
+        self.assertEqual(self.request("a", 2, (PLACES_UNIT, 3, 1)), {"a": {PLACES_UNIT: 1}})
+        self.assertEqual(self.request("b", 1, (PLACES_UNIT, 0, 1)), {"b": {PLACES_UNIT: 0}})
+
+    def test_tokens_of_a_lost_answer_are_free_again_and_taken_ones_are_not(self):
         self.now += TICKS_PER_SECOND
-        self.assertEqual(self.ask("a", 1, (FLOW, 0, 10)), {"a": {FLOW: 10}})
-        before = self.allocator.free(self.now, FLOW)
-        self.ask("a", 2, (FLOW, 0, 0), got=0)
-        self.assertEqual(self.allocator.free(self.now, FLOW), before + 10)
-        self.ask("a", 3, (FLOW, 0, 8))
-        self.ask("a", 4, (FLOW, 8, 0), got=3)
-        self.assertEqual(self.allocator.free(self.now, FLOW), before + 2)
-
-    def test_asks_that_come_late_or_twice_are_nothing(self):
-        self.ask("a", 2, (UNIT, 0, 1))
-        self.assertEqual(self.ask("a", 2, (UNIT, 0, 3)), {})
-        self.assertEqual(self.ask("a", 1, (UNIT, 0, 3)), {})
-
-    def test_a_holder_takes_no_answer_to_an_earlier_ask(self):
+        self.assertEqual(self.request("a", 1, (TOKENS_UNIT, 0, 10)), {"a": {TOKENS_UNIT: 10}})
+        before = self.allocator.free(self.now, TOKENS_UNIT)
+        self.request("a", 2, (TOKENS_UNIT, 0, 0), got=0)
+        self.assertEqual(self.allocator.free(self.now, TOKENS_UNIT), before + 10)
+        self.request("a", 3, (TOKENS_UNIT, 0, 8))
+        self.request("a", 4, (TOKENS_UNIT, 8, 0), got=3)
+        self.assertEqual(self.allocator.free(self.now, TOKENS_UNIT), before + 2)
+
+    def test_late_and_duplicate_requests_are_ignored(self):
+        self.request("a", 2, (PLACES_UNIT, 0, 1))
+        self.assertEqual(self.request("a", 2, (PLACES_UNIT, 0, 3)), {})
+        self.assertEqual(self.request("a", 1, (PLACES_UNIT, 0, 3)), {})
+
+    def test_a_holder_accepts_no_answer_to_an_earlier_request(self):
         holder = LeaseHolder(0)
-        first, _, _ = holder.request(0, {UNIT: 2}, {}, {})
-        holder.request(2_000, {UNIT: 1}, {}, {})
-        self.assertFalse(holder.accept_grant(2_010, first, 1, {UNIT: 2}, set(), lambda unit: False))
-        self.assertEqual(holder.usable_places(2_010, UNIT), 0)
+        first, _, _ = holder.request(0, {PLACES_UNIT: 2}, {}, {})
+        holder.request(2_000, {PLACES_UNIT: 1}, {}, {})
+        self.assertFalse(holder.accept_grant(2_010, first, 1, {PLACES_UNIT: 2}, set(), lambda unit: False))
+        self.assertEqual(holder.usable_places(2_010, PLACES_UNIT), 0)
 
-    def test_a_lease_counts_from_the_asking_however_late_the_answer_is(self):
+    def test_a_lease_counts_from_the_request_however_late_the_answer_is(self):
         holder = LeaseHolder(0)
-        sequence, _, _ = holder.request(0, {UNIT: 2}, {}, {})
-        holder.accept_grant(1_900, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
+        sequence, _, _ = holder.request(0, {PLACES_UNIT: 2}, {}, {})
+        holder.accept_grant(1_900, sequence, 1, {PLACES_UNIT: 2}, set(), lambda unit: False)
         self.assertEqual(holder.places_until, shorten_for_drift(LEASE_TICKS, MAX_CLOCK_DRIFT))
 
-    def test_hops_out_past_a_lease_are_told_as_held_and_no_more_begins(self):
+    def test_attempts_beyond_a_lease_are_reported_as_held_and_none_start(self):
         holder = LeaseHolder(0)
-        sequence, _, _ = holder.request(0, {UNIT: 2}, {}, {})
-        holder.accept_grant(10, sequence, 1, {UNIT: 2}, set(), lambda unit: False)
-        _, _, rows = holder.request(90_000, {}, {}, {UNIT: 1})
-        self.assertEqual((rows, holder.usable_places(90_000, UNIT)), ([LeaseRequest(UNIT, 1, 1)], 0))
+        sequence, _, _ = holder.request(0, {PLACES_UNIT: 2}, {}, {})
+        holder.accept_grant(10, sequence, 1, {PLACES_UNIT: 2}, set(), lambda unit: False)
+        _, _, rows = holder.request(90_000, {}, {}, {PLACES_UNIT: 1})
+        self.assertEqual(
+            (rows, holder.usable_places(90_000, PLACES_UNIT)), ([LeaseRequest(PLACES_UNIT, 1, 1)], 0)
+        )
 
 
-class Decisions(unittest.TestCase):
-    def test_hops_go_where_a_place_is_allowed_and_wait_for_one(self):
+class DecisionCore(unittest.TestCase):
+    def test_attempts_wait_for_a_place_and_go_where_one_is_allowed(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
         stage.tell(i.Allowed((((i.AT_HOST, None), 0, 0, 0), ((i.AT_HOST, 1), 0, 1, 10**9))))
         stage.many(2)
@@ -237,7 +259,7 @@
         stage.tell(i.Allowed((((i.AT_HOST, 0), 1, 0, 0),)))
         self.assertEqual(sorted(stage.sends()), [0, 1])
 
-    def test_a_part_that_is_too_old_is_none_and_tokens_are_used_up(self):
+    def test_an_expired_allowance_is_not_used_and_tokens_are_used_up(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
         stage.tell(i.Allowed((((i.FIRST, None), 1, 1, stage.now + 100),)))
         stage.many(1)
@@ -245,37 +267,39 @@
         stage.many(1)
         self.assertEqual(len(stage.sends()), 1)
 
-    def test_the_refused_are_told_when_to_come_back(self):
+    def test_refused_clients_are_told_when_to_retry(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
         stage.tell(i.Allowed((((i.FIRST, None), 0, 0, 0),), (), 7_000))
         stage.many(1)
-        (back,) = [e for e in stage.record if isinstance(e, i.RollBack)]
-        self.assertTrue(5_000 < back.come_back < 9_000)
+        (rollback,) = [e for e in stage.record if isinstance(e, i.RollBack)]
+        self.assertTrue(5_000 < rollback.come_back < 9_000)
 
 
-class Judging(unittest.TestCase):
-    def test_one_hop_more_than_the_places_is_seen(self):
+class LabMeasurements(unittest.TestCase):
+    def test_one_attempt_beyond_the_places_is_measured(self):
         def got(at, tx):
             return Got(at, 0, tx, 0.01, 1.0, None, True)
 
-        kept = [got(1, "a"), got(2, "b"), Done(3, 0, "a"), got(4, "c")]
-        self.assertEqual(overrun.held(kept, 2, set())[0], 2)
-        self.assertEqual(overrun.held([*kept, got(5, "d")], 2, set())[0], 3)
+        events = [got(1, "a"), got(2, "b"), Done(3, 0, "a"), got(4, "c")]
+        self.assertEqual(overrun.held(events, 2, set())[0], 2)
+        self.assertEqual(overrun.held([*events, got(5, "d")], 2, set())[0], 3)
 
-    def test_a_proxy_that_spends_twice_is_seen(self):
+    def test_tokens_spent_twice_are_measured(self):
         times = [n / 40 for n in range(400)]
         self.assertEqual(overrun.beyond(times, 40, 20), 0.0)
         self.assertGreater(overrun.beyond(sorted(times + times[100:200]), 40, 20), 0.2)
 
-    def test_bounds_are_formulas_of_the_settings(self):
+    def test_guarantees_follow_from_the_settings(self):
         self.assertEqual(Limit("r", RATE, 40, 60, floor=0.25).max_excess(), 0.0)
         self.assertEqual(Limit("r", RATE, 40, 60, over=BOUNDED, floor=0.25).max_excess(), 0.25)
-        self.assertEqual(Limit("r", RATE, 0, 0, over=BOUNDED, floor=0.25).max_excess(), 0.25)  # was 0 / 0
+        self.assertEqual(
+            Limit("r", RATE, 0, 0, over=BOUNDED, floor=0.25).max_excess(), 0.25
+        )  # once a division by zero
         limit = Limit("p", HOST, 8, floor=0.5)
         own = sum(limit.own_places_at(99, position, 5) for position in range(5))
         self.assertEqual((own, limit.lendable()), (4, 4))
 
-    def test_what_no_limit_can_mean_is_said(self):
+    def test_invalid_limits_are_rejected_with_a_reason(self):
         for limit in (
             Limit("p", HOST, 1.5),
             Limit("p", HOST, 2, over=BOUNDED),
@@ -284,7 +308,7 @@
         ):
             self.assertIn("Expected", invalid_reason(limit))
 
-    def test_a_fleet_file_is_refused_with_the_place(self):
+    def test_fleet_file_errors_name_the_path_of_the_field(self):
         head = 'listen = "127.0.0.1:1"\nseeds = []\nkey_file = "k"\nshares = ["limits"]\n'
         place = '[[limits]]\nname = "p"\nkind = "host"\namount = 8\n'
         for text, where in (
