--- a/basalthook/fleet/aggregation.py
+++ b/basalthook/fleet/aggregation.py
@@ -1,66 +1,72 @@
-"""News of failing hosts where proxies may send a few bytes and hold no table: one proxy counts for each host.
+"""Reports of failing hosts for deployments where proxies exchange a few bytes and hold no fact table.
 
-Whoever meets a host's fault tells the proxy that counts for it, which tells all once enough have. Pure;
-beside the decisions, of which it reads their list. The simulator's messages, and the baseline for shared
-evidence.
+One proxy is the aggregator for each host, by the host's hash. A proxy that meets a fault of the host reports
+it there, and the aggregator informs all proxies once enough have. It wraps the decision core and reads its
+host list. The simulator's protocol has these messages, and the lab uses them as the baseline that shared
+evidence is compared with. No I/O.
 """
 
 from ..policy import interface as i
 from ..policy.measure import Spread
 
-NEWS, KEPT_AWAY, TOLD_MOST = 10_000, 33_000, 0.3  # ticks that news counts, that a host is kept away; of all
-WITNESSES, SHARE = 3, 0.03  # so many, or so much of all proxies, must have met a fault
-KEPT = 2_000
+# Ticks for which a report counts and for which a host is avoided; greatest share of hosts avoided at a time.
+FAULT_WINDOW, AVOID_DURATION, MAX_AVOIDED_SHARE = 10_000, 33_000, 0.3
+# Proxies that must have met a fault: the greater of a number and a share of all proxies.
+MIN_WITNESSES, MIN_WITNESS_SHARE = 3, 0.03
+MAX_TRACKED_HOSTS = 2_000
 
 
 class FaultAggregator:
-    """`terms.peers` false: nothing is told and nothing believed."""
+    """Wraps the decision core. Without `terms.peers` it sends no reports and ignores those received."""
 
     def __init__(self, proxy) -> None:
         self.proxy, self.terms = proxy, proxy.terms
-        self.faults, self.witnessed = Spread(NEWS, KEPT), {}  # host -> who; host -> when we told; bounded
+        # host -> proxies that met a fault, and host -> time of this proxy's last report; both bounded
+        self.faults, self.reported_at = Spread(FAULT_WINDOW, MAX_TRACKED_HOSTS), {}
 
-    def handle(self, now: int, event, seen: int | None = None) -> list:
-        """As the decisions' own `handle`, with the news among its events and effects."""
+    def handle(self, now: int, event, received_until: int | None = None) -> list:
+        """Handles an event like the decision core, reports received and sent included."""
         if isinstance(event, i.NewsCame):
-            return self.came(now, event)
+            return self.on_news(now, event)
         effects = []
-        for effect in self.proxy.handle(now, event, seen):
-            effects += self.met(now, effect.host) if isinstance(effect, i.MetFault) else (effect,)
+        for effect in self.proxy.handle(now, event, received_until):
+            effects += self.on_fault(now, effect.host) if isinstance(effect, i.MetFault) else (effect,)
         return effects
 
-    def met(self, now: int, host: int) -> list:
-        """Told to the one proxy that counts for this host: hundreds each meet it seldom."""
-        if not self.terms.peers or now < self.witnessed.get(host, 0) + NEWS:
+    def on_fault(self, now: int, host: int) -> list:
+        """Reports a fault to the host's aggregator: of hundreds of proxies each one meets few faults."""
+        if not self.terms.peers or now < self.reported_at.get(host, 0) + FAULT_WINDOW:
             return []
-        if len(self.witnessed) >= KEPT:
-            self.witnessed.clear()
-        self.witnessed[host] = now
-        counts = self.proxy.servers[host].line.hash % self.terms.proxies
-        if counts == self.terms.position:
-            return self.witness(now, host, counts)
-        return [i.TellNews(counts, host, i.MET_FAULT)]
+        if len(self.reported_at) >= MAX_TRACKED_HOSTS:
+            self.reported_at.clear()
+        self.reported_at[host] = now
+        aggregator = self.proxy.servers[host].line.hash % self.terms.proxies
+        if aggregator == self.terms.position:
+            return self.count_fault(now, host, aggregator)
+        return [i.TellNews(aggregator, host, i.MET_FAULT)]
 
-    def came(self, now: int, event: i.NewsCame) -> list:
-        """Only the one that counts is believed, and nothing is passed on."""
-        server, sender, mine = self.proxy.servers.get(event.host), event.sender, self.terms.position
-        if not self.terms.peers or not server or sender == mine or not 0 <= sender < self.terms.proxies:
+    def on_news(self, now: int, event: i.NewsCame) -> list:
+        """Handles a report. Only the host's aggregator may call it at fault, and nothing is forwarded."""
+        server, sender, position = self.proxy.servers.get(event.host), event.sender, self.terms.position
+        if not self.terms.peers or not server or sender == position or not 0 <= sender < self.terms.proxies:
             return []
-        counts = server.line.hash % self.terms.proxies
-        if event.what == i.MET_FAULT and counts == mine:
-            return self.witness(now, event.host, sender)
-        return self.shut(now, event.host) if event.what == i.AT_FAULT and counts == sender else []
+        aggregator = server.line.hash % self.terms.proxies
+        if event.what == i.MET_FAULT and aggregator == position:
+            return self.count_fault(now, event.host, sender)
+        return self.avoid(now, event.host) if event.what == i.AT_FAULT and aggregator == sender else []
 
-    def witness(self, now: int, host: int, sender: int) -> list:
-        """Told to all if enough met one lately."""
-        if len(self.faults.add(host, sender, now)) < max(WITNESSES, SHARE * self.terms.proxies):
+    def count_fault(self, now: int, host: int, sender: int) -> list:
+        """Counts a fault, and informs all proxies if enough of them met one lately."""
+        if len(self.faults.add(host, sender, now)) < max(
+            MIN_WITNESSES, MIN_WITNESS_SHARE * self.terms.proxies
+        ):
             return []
         self.faults.drop(host)
-        return [i.TellNews(None, host, i.AT_FAULT), *self.shut(now, host)]
+        return [i.TellNews(None, host, i.AT_FAULT), *self.avoid(now, host)]
 
-    def shut(self, now: int, host: int) -> list:
-        """Others' word expires, never holds for more than a part of all."""
+    def avoid(self, now: int, host: int) -> list:
+        """Keeps away from a host for a while, unless MAX_AVOIDED_SHARE of the hosts is avoided already."""
         ready = self.proxy.ready
-        if sum(now < server.shut for server in ready) >= TOLD_MOST * len(ready):
+        if sum(now < server.shut for server in ready) >= MAX_AVOIDED_SHARE * len(ready):
             return []
-        return self.proxy.handle(now, i.Judged(((host, now + KEPT_AWAY, now + KEPT_AWAY),)))
+        return self.proxy.handle(now, i.Judged(((host, now + AVOID_DURATION, now + AVOID_DURATION),)))
--- a/basalthook/fleet/gossip.py
+++ b/basalthook/fleet/gossip.py
@@ -1,12 +1,13 @@
-"""Facts on the members' datagrams: told as rumours that cool, repaired by digests. Datagrams and time in and
-out.
+"""Dissemination of facts among members by gossip: rumours, repaired by digests. No I/O.
 
-Nobody takes a fact that it has not asked for: a rumour is a row of marks, who lacks some asks for them under
-a nonce of its own, and adds to each fact's age the time from its question to the answer, on its own clock. So
-a datagram that was held up, or played again, can't make a fact younger than it is, whatever the links do.
+A member accepts only facts that it asked for. A rumour is a list of fact ids. Whoever lacks some of them
+requests them under a nonce of its own, and adds the time from its request to the answer, on its own clock, to
+the age of each fact. So a datagram that was delayed or replayed can't make a fact look younger than it is.
 
-    rumour > marks of what is new        ask > marks that are lacking        answer > facts
-    every REPAIR: ask_differing > digests by author, over a range            answer > facts that differ
+    RUMOUR: ids of new facts          FETCH: ids that are missing         FACTS: the facts
+    every REPAIR_INTERVAL FETCH_DIFFERING: digests by author over a range; FACTS: those that differ
+
+All times are ticks of 0.1 ms.
 """
 
 from random import Random
@@ -18,18 +19,24 @@
 from .facts import Fact, FactTable, parse_fact
 
 RUMOUR, FETCH, FACTS, FETCH_DIFFERING = 16, 17, 18, 19
-TELL_TO = 3  # members told in a round
-MARKS, DIGESTS = 32, 48  # in one datagram
-REPAIR = 20_000  # ticks between two exchanges of digests
-RATE, BURST = 1.6, 32_000  # bytes a tick that facts may take going out (16 kB a second), and at once
-IN_RATE, IN_BURST = 0.2, 2_000  # datagrams a tick that are read at all (2,000 a second), and at once
-OPEN_FOR, OPEN_LEAST = 50_000, 256  # ticks that a question stays open
-ROOM = wire.MAX_DATAGRAM - 40  # bytes for what a datagram carries
-COMPLAIN = 100_000  # ticks between two log lines on unsound datagrams
+FANOUT = 3  # members that a rumour is sent to in a round
+MAX_IDS, MAX_DIGESTS = 32, 48  # per datagram
+REPAIR_INTERVAL = 20_000  # ticks between exchanges of digests, on average
+# Bytes per tick for sending facts (16 kB per second), and bytes at once.
+SEND_RATE, SEND_BURST = 1.6, 32_000
+# Datagrams per tick that are read (2,000 per second), and datagrams at once.
+RECEIVE_RATE, RECEIVE_BURST = 0.2, 2_000
+# Ticks for which an answer to a request is accepted; open requests allowed beyond one per member.
+REQUEST_LIFETIME, MIN_OPEN_REQUESTS = 50_000, 256
+MAX_PAYLOAD = wire.MAX_DATAGRAM - 40  # bytes of facts in one datagram
+REFUSAL_LOG_INTERVAL = 100_000  # ticks between log lines on refused datagrams
 
 
 class Gossip:
-    """One process's part: `out(address, bytes)` sends; `say(event, **fields)` is the log."""
+    """Gossip, facts and membership of one process.
+
+    `send_datagram(address, data)` sends; `say(event, **fields)` writes to the log.
+    """
 
     def __init__(
         self,
@@ -38,36 +45,40 @@
         life: int,
         seeds: list[tuple[str, int]],
         key: bytes,
-        lives: dict[str, int],
-        chance: Random,
-        out,
+        lifetimes: dict[str, int],
+        rng: Random,
+        send_datagram,
         say=lambda event, **fields: None,
     ) -> None:
-        self.name, self.key, self.chance, self.out, self.say = name, key, chance, out, say
-        self.member = Member(name, address, life, seeds, chance, self.send, self.changed)
-        self.table = FactTable(name, life, lives)
+        self.name, self.key, self.rng, self.send_datagram, self.say = name, key, rng, send_datagram, say
+        self.member = Member(name, address, life, seeds, rng, self.send, self.member_changed)
+        self.table = FactTable(name, life, lifetimes)
         self.member.on_new_life = self.table.adopt_life
-        self.open_requests: dict[int, int] = {}  # nonce -> when; emptied by answers and by time
-        self.tokens, self.in_tokens, self.last, self.in_last = float(BURST), float(IN_BURST), 0, 0
-        self.repair_next = self.expire_next = 0
+        self.open_requests: dict[int, int] = {}  # nonce -> requested at
+        self.send_tokens, self.receive_tokens, self.last_tick_at, self.last_received_at = (
+            float(SEND_BURST),
+            float(RECEIVE_BURST),
+            0,
+            0,
+        )
+        self.next_repair_at = self.next_expiry_at = 0
         self.refused: dict[str, int] = {}  # reason -> count
-        self.complained = -COMPLAIN
+        self.refusal_logged_at = -REFUSAL_LOG_INTERVAL
         self.sent = self.sent_bytes = self.received_count = 0
-        self.message_lengths: dict[
-            int, int
-        ] = {}  # kind -> length of messages that another part of this process
-        self.on_message = lambda now, message: None  # ... takes
+        # kinds of messages that `on_message` handles, with their lengths
+        self.message_lengths: dict[int, int] = {}
+        self.on_message = lambda now, message: None
 
     def begin(self, now: int, known: list[Update] = ()) -> None:
-        self.last = self.in_last = now
-        self.repair_next, self.expire_next = now + self.chance.randrange(REPAIR), now
+        self.last_tick_at = self.last_received_at = now
+        self.next_repair_at, self.next_expiry_at = now + self.rng.randrange(REPAIR_INTERVAL), now
         self.member.begin(now, known)
 
     def live(self) -> tuple[str, ...]:
         return self.member.live()
 
-    def changed(self, change: MemberChange) -> None:
-        # guards against words of a process that is gone, at those whom no word of its successor has reached
+    def member_changed(self, change: MemberChange) -> None:
+        # facts of a process that is gone must not live on where no fact of its successor has arrived yet
         self.table.void_earlier_lives(change.update.name, change.update.life)
         if change.before is not None or change.update.state:
             self.say("member", name=change.update.name, state=STATES[change.update.state], by=change.by)
@@ -76,78 +87,80 @@
         data = wire.encode(self.key, message)
         self.sent += 1
         self.sent_bytes += len(data)
-        self.out(address, data)
+        self.send_datagram(address, data)
         return len(data)
 
     def send_to(self, name: str, message: list) -> None:
-        """To a member by its name; to one that is not known it is lost, as a datagram may be."""
+        """Sends to a live member by name; to an unknown one the message is lost, as a datagram may be."""
         if name in self.live():
             self.send(self.member.address(name), message)
 
-    def pay(self, address: tuple[str, int], message: list) -> None:
-        self.tokens -= self.send(address, message)
+    def send_metered(self, address: tuple[str, int], message: list) -> None:
+        self.send_tokens -= self.send(address, message)
 
     # ---- time
 
     def tick(self, now: int) -> None:
-        """Several times a second."""
-        self.tokens = min(BURST, self.tokens + (now - self.last) * RATE)
-        self.last = now
+        """Call several times a second."""
+        self.send_tokens = min(SEND_BURST, self.send_tokens + (now - self.last_tick_at) * SEND_RATE)
+        self.last_tick_at = now
         self.member.tick(now)
-        while self.open_requests and now - next(iter(self.open_requests.values())) > OPEN_FOR:
+        while self.open_requests and now - next(iter(self.open_requests.values())) > REQUEST_LIFETIME:
             del self.open_requests[next(iter(self.open_requests))]
-        if now >= self.expire_next:
-            self.expire_next = now + REPAIR // 4
+        if now >= self.next_expiry_at:
+            self.next_expiry_at = now + REPAIR_INTERVAL // 4
             self.table.expire(now)
         if len(self.live()) < 2:
             return
-        if self.table.hot:
+        if self.table.pending:
             self.send_rumours()
-        if now >= self.repair_next:
-            self.repair_next = now + REPAIR * 3 // 4 + self.chance.randrange(REPAIR // 2)
+        if now >= self.next_repair_at:
+            self.next_repair_at = now + REPAIR_INTERVAL * 3 // 4 + self.rng.randrange(REPAIR_INTERVAL // 2)
             self.repair(now)
 
     def send_rumours(self) -> None:
-        """A round of telling; also called as soon as this process has told a word itself."""
-        if self.tokens <= 0 or len(self.live()) < 2:
+        """Sends a round of rumours; also called at once when this process publishes an urgent fact."""
+        if self.send_tokens <= 0 or len(self.live()) < 2:
             return
-        marks = self.table.next_rumours(MARKS)
-        for name in self.member.random_members(TELL_TO):
-            self.pay(self.member.address(name), [RUMOUR, self.name, 0, marks])
+        fact_ids = self.table.next_rumours(MAX_IDS)
+        for name in self.member.random_members(FANOUT):
+            self.send_metered(self.member.address(name), [RUMOUR, self.name, 0, fact_ids])
 
     def repair(self, now: int) -> None:
-        """Whose words differ over there; from a random place on, so that every author comes by."""
-        low = self.chance.getrandbits(32) if len(self.table.of) > DIGESTS else 0
-        digests, end = self.table.digests(now, low, DIGESTS)
+        """Asks a random member for facts that differ, from a random author on, so that all get compared."""
+        start = self.rng.getrandbits(32) if len(self.table.by_author) > MAX_DIGESTS else 0
+        digests, end = self.table.digests(now, start, MAX_DIGESTS)
         for name in self.member.random_members(1):
-            self.pay(
+            self.send_metered(
                 self.member.address(name),
                 [
                     FETCH_DIFFERING,
                     self.name,
                     self.open_request(now),
-                    low,
+                    start,
                     end,
                     [list(pair) for pair in digests],
                 ],
             )
 
     def open_request(self, now: int) -> int:
-        while len(self.open_requests) >= OPEN_LEAST + len(self.member.peers):
+        while len(self.open_requests) >= MIN_OPEN_REQUESTS + len(self.member.peers):
             del self.open_requests[next(iter(self.open_requests))]
-        nonce = self.chance.getrandbits(48)
+        nonce = self.rng.getrandbits(48)
         self.open_requests[nonce] = now
         return nonce
 
     # ---- datagrams
 
     def received(self, now: int, data: bytes, source: tuple[str, int]) -> None:
-        """Whatever is not sound, too much or not asked for is passed over; the first of a kind is said."""
-        self.in_tokens = min(IN_BURST, self.in_tokens + max(0, now - self.in_last) * IN_RATE)
-        self.in_last = now
-        if self.in_tokens < 1:
+        """Handles a datagram; drops excess, malformed and unrequested ones, and logs refusals."""
+        self.receive_tokens = min(
+            RECEIVE_BURST, self.receive_tokens + max(0, now - self.last_received_at) * RECEIVE_RATE
+        )
+        self.last_received_at = now
+        if self.receive_tokens < 1:
             return self.refuse(now, "too many", source)
-        self.in_tokens -= 1
+        self.receive_tokens -= 1
         self.received_count += 1
         message = wire.decode(self.key, data)
         if isinstance(message, str):
@@ -161,52 +174,52 @@
 
     def refuse(self, now: int, reason: str, source) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
-        if now - self.complained >= COMPLAIN:
-            self.complained = now
+        if now - self.refusal_logged_at >= REFUSAL_LOG_INTERVAL:
+            self.refusal_logged_at = now
             self.say("datagrams refused", reason=reason, source=list(source), counts=dict(self.refused))
 
-    def rumoured(self, now: int, message: list, source) -> None:
-        lacking = self.table.missing(numbers(message[3], MARKS))
-        if lacking:
-            self.pay(source, [FETCH, self.name, self.open_request(now), lacking])
+    def on_rumour(self, now: int, message: list, source) -> None:
+        missing = self.table.missing(valid_ids(message[3], MAX_IDS))
+        if missing:
+            self.send_metered(source, [FETCH, self.name, self.open_request(now), missing])
 
-    def was_asked(self, now: int, message: list, source) -> None:
-        self.answer(source, message[2], self.table.facts_for(now, numbers(message[3], MARKS)))
+    def on_fetch(self, now: int, message: list, source) -> None:
+        self.send_facts(source, message[2], self.table.facts_for(now, valid_ids(message[3], MAX_IDS)))
 
-    def asked_differing(self, now: int, message: list, source) -> None:
-        _, _, nonce, low, end, digests = message
-        if not isinstance(low, int) or not isinstance(end, int) or not isinstance(digests, list):
+    def on_fetch_differing(self, now: int, message: list, source) -> None:
+        _, _, nonce, start, end, digests = message
+        if not isinstance(start, int) or not isinstance(end, int) or not isinstance(digests, list):
             return
-        known = dict(pair for pair in digests[:DIGESTS] if len(numbers(pair, 2)) == 2)
-        self.answer(source, nonce, self.table.differing_facts(now, low, end, known))
+        peer_digests = dict(pair for pair in digests[:MAX_DIGESTS] if len(valid_ids(pair, 2)) == 2)
+        self.send_facts(source, nonce, self.table.differing_facts(now, start, end, peer_digests))
 
-    def answer(self, to: tuple[str, int], nonce: int, facts: list[Fact]) -> None:
-        """As many as one datagram holds, the youngest first; what is left is for another exchange."""
-        told, room = [], ROOM
+    def send_facts(self, address: tuple[str, int], nonce: int, facts: list[Fact]) -> None:
+        """Sends the youngest facts that fit one datagram; the rest is left to later exchanges."""
+        packed, bytes_left = [], MAX_PAYLOAD
         for fact in sorted(facts, key=lambda f: f.age):
-            plain = [*fact[:6], fact.age]
-            room -= len(msgpack.packb(plain))
-            if room < 0:
+            encoded = [*fact[:6], fact.age]
+            bytes_left -= len(msgpack.packb(encoded))
+            if bytes_left < 0:
                 break
-            told.append(plain)
-        if told:
-            self.pay(to, [FACTS, self.name, nonce, told])
-
-    def facts_received(self, now: int, message: list, source) -> None:
-        asked_at = self.open_requests.pop(message[2], None)
-        if asked_at is None or not isinstance(message[3], list):
-            return  # guards against a datagram that was held up, forged or played again
-        for plain in message[3]:
-            fact = parse_fact(plain)
+            packed.append(encoded)
+        if packed:
+            self.send_metered(address, [FACTS, self.name, nonce, packed])
+
+    def on_facts(self, now: int, message: list, source) -> None:
+        requested_at = self.open_requests.pop(message[2], None)
+        if requested_at is None or not isinstance(message[3], list):
+            return  # delayed, forged or replayed: its ages can't be trusted
+        for encoded in message[3]:
+            fact = parse_fact(encoded)
             if fact is not None:
-                self.table.merge(now, fact._replace(age=fact.age + now - asked_at), len(self.live()))
+                self.table.merge(now, fact._replace(age=fact.age + now - requested_at), len(self.live()))
 
-    HANDLERS = {RUMOUR: rumoured, FETCH: was_asked, FACTS: facts_received, FETCH_DIFFERING: asked_differing}
+    HANDLERS = {RUMOUR: on_rumour, FETCH: on_fetch, FACTS: on_facts, FETCH_DIFFERING: on_fetch_differing}
     LENGTHS = {RUMOUR: 4, FETCH: 4, FACTS: 4, FETCH_DIFFERING: 6}
 
 
-def numbers(plain, most: int) -> list[int]:
-    """What of it are whole numbers of four bytes, if it is a list."""
-    if not isinstance(plain, list):
+def valid_ids(encoded, limit: int) -> list[int]:
+    """Returns the 32-bit unsigned integers among the first `limit` items; [] if it is no list."""
+    if not isinstance(encoded, list):
         return []
-    return [n for n in plain[:most] if isinstance(n, int) and not isinstance(n, bool) and 0 <= n < 2**32]
+    return [n for n in encoded[:limit] if isinstance(n, int) and not isinstance(n, bool) and 0 <= n < 2**32]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -180,10 +180,10 @@
         self.allocator.start_term(0)
         self.now = self.allocator.grant_lifetime
 
-    def request(self, name, sequence, *rows, got=0):
+    def request(self, holder_name, sequence, *rows, got=0):
         """Returns {name: granted} for all holders that are answered."""
         answers = self.allocator.request(
-            self.now, (name, 1), sequence, got, [LeaseRequest(*row) for row in rows]
+            self.now, (holder_name, 1), sequence, got, [LeaseRequest(*row) for row in rows]
         )
         return {name: granted for (name, _), _, _, granted, _ in answers}
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -256,11 +256,11 @@
 class Young(Gossip):
     """Planted: the time that a fact was under way is forgotten."""
 
-    def facts_received(self, now, message, source):
+    def on_facts(self, now, message, source):
         self.open_requests[message[2]] = now
-        Gossip.facts_received(self, now, message, source)
+        Gossip.on_facts(self, now, message, source)
 
-    HANDLERS = {**Gossip.HANDLERS, FACTS: facts_received}
+    HANDLERS = {**Gossip.HANDLERS, FACTS: on_facts}
 
 
 class NoRepair(Gossip):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -162,7 +162,9 @@
 
     def test_the_lab_detects_a_table_that_never_expires_facts(self):
         def parsed_without_expiry(self, now, kind, subject, reader):
-            parsed = [reader(h.fact, h.born) for h in self.by_subject.get((kind, subject), {}).values()]
+            parsed = [
+                reader(h.fact, h.published_at) for h in self.by_subject.get((kind, subject), {}).values()
+            ]
             return [report for report in parsed if report is not None]
 
         with (
