--- a/basalthook/fleet/__init__.py
+++ b/basalthook/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""What all proxies hold together: shared facts, each with its age; evidence on hosts; verdicts from it. Pure.
+"""State that all proxies share: replicated facts with ages, verdicts on hosts, and limits over the fleet.
 
-`facts` is the table, `evidence` what this proxy saw, `verdicts` what follows from all that is told, `talk`
-binds them to the members' datagrams. None of it opens a socket, reads a clock or draws a chance of its own.
+`facts` is the replicated table and `gossip` its exchange with other members; `evidence` is what this proxy
+saw at hosts and `verdicts` what follows from all reports; `limits` enforces fleet-wide limits by leases from
+an elected leader. No module here opens a socket, reads a clock or seeds a random generator.
 """
--- a/basalthook/membership/driver.py
+++ b/basalthook/membership/driver.py
@@ -1,40 +1,43 @@
-"""The members' socket: datagrams in and out on the loop that is there. It knows nothing of what they say."""
+"""The UDP socket of a member on the running event loop; it knows nothing of the content of datagrams."""
 
 import asyncio
 import socket
 from contextlib import suppress
 
-READ_MOST = 64  # datagrams in one turn of the loop: clients come between two of these
-LENGTH_MOST = 2048  # bytes read of one: what is longer than a member sends shows as such
-BUFFER = 256 * 1024  # of the kernel: a burst from a few hundred members
+MAX_READS = 64  # datagrams read per wakeup, so that client connections get their turn in between
+MAX_READ_BYTES = 2048  # more than a member sends, so that longer datagrams are recognised
+RECEIVE_BUFFER_BYTES = 256 * 1024  # kernel buffer, for a burst from a few hundred members
 
 
 class Driver:
-    """`took(data, source)` for every datagram that comes. OSError where the address can't be had."""
+    """Binds the socket and calls `on_datagram(data, source)` for each datagram.
 
-    def __init__(self, address: tuple[str, int], took) -> None:
+    Raises OSError if the address can't be bound.
+    """
+
+    def __init__(self, address: tuple[str, int], on_datagram) -> None:
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_DGRAM)
         try:
             self.socket.setblocking(False)
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self.socket.bind(address)
         except OSError:
             self.socket.close()
             raise
-        self.address, self.took = self.socket.getsockname()[:2], took
-        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.readable)
+        self.address, self.on_datagram = self.socket.getsockname()[:2], on_datagram
+        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.on_readable)
 
-    def readable(self) -> None:
-        for _ in range(READ_MOST):
+    def on_readable(self) -> None:
+        for _ in range(MAX_READS):
             try:
-                data, source = self.socket.recvfrom(LENGTH_MOST)
-            except OSError:  # nothing more; or the word that nobody listened where one was sent to
+                data, source = self.socket.recvfrom(MAX_READ_BYTES)
+            except OSError:  # nothing more to read, or an ICMP error for a datagram sent before
                 return
-            self.took(data, source[:2])
+            self.on_datagram(data, source[:2])
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
-        """Best effort: a full buffer or an address that can't be reached loses it, as the network may."""
+        """Sends if possible; a full buffer or an unreachable address loses the datagram."""
         with suppress(OSError, OverflowError, UnicodeError):
             self.socket.sendto(data, address)
 
--- a/basalthook/membership/wire.py
+++ b/basalthook/membership/wire.py
@@ -1,9 +1,8 @@
-"""Datagrams among members: version, keyed checksum, msgpack. Whatever is not sound is nothing, with its
-reason.
+"""Encoding of datagrams between members: version, keyed checksum, msgpack.
 
-Form: one byte of version, eight of blake2b keyed with the fleet's key over the rest, the message. Replies
-carry the nonce of a question that is still open, so a datagram played again answers nothing; the rest of what
-is told is ordered by lives and incarnations, so that an old one changes nothing.
+A datagram is one byte of version, eight bytes of blake2b over the message, keyed with the fleet's key, and
+the message. Replies carry the nonce of a request that is still open, so a replayed datagram answers nothing;
+other content is ordered by lives and incarnations, so that old content changes nothing.
 """
 
 from hashlib import blake2b
@@ -33,7 +32,7 @@
 
 
 def decode(key: bytes, data: bytes) -> list | str:
-    """The message: a list that begins with its kind, who sent it and a nonce; or why there is none."""
+    """Returns the message, a list that starts with kind, sender and nonce; or the reason to refuse it."""
     if len(data) > MAX_DATAGRAM:
         return TOO_LONG
     if len(data) < 2 + CHECKSUM_BYTES:
