--- a/basalthook/config/__init__.py
+++ b/basalthook/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' own files: typed, checked whole, one error with its path. Loaded only where one is named."""
+"""Operators' configuration files: typed and validated as a whole; errors name the path of the field."""
--- a/basalthook/fleet/bounds.py
+++ b/basalthook/fleet/bounds.py
@@ -119,7 +119,7 @@
 def invalid_reason(limit: Limit) -> str:
     """Returns why a limit is invalid, or "" if it is valid."""
     if limit.amount < 0 or limit.counts_places and limit.amount != int(limit.amount):
-        return f"Expected {'a whole number' if limit.counts_places else 'no less than 0'}, got {limit.amount}"
+        return f"Expected {'a whole number' if limit.counts_places else '0 or more'}, got {limit.amount}"
     if (
         not limit.counts_places
         and limit.over == NEVER
@@ -129,7 +129,7 @@
         least = limit.amount * TOKEN_LIFETIME / TICKS_PER_SECOND + 1
         return (
             f"Expected a burst of {least:g} or more, got {limit.burst:g}: a token may be spent "
-            f"{TOKEN_LIFETIME / TICKS_PER_SECOND:g} s after it was lent, which may never add up to more"
+            f"{TOKEN_LIFETIME / TICKS_PER_SECOND:g} s after it was lent, and all together must not exceed it"
         )
     if limit.counts_places and limit.over != NEVER:
         return "Expected `never` for places at a host"
