--- a/basalthook/lab/scenario.py
+++ b/basalthook/lab/scenario.py
@@ -200,7 +200,7 @@
         )
     for n, limit in enumerate(found.fleet.limits if found.fleet else ()):
         wrong = (
-            bounds.wrong(bound(limit, names))
+            bounds.invalid_reason(bound(limit, names))
             if set(limit.profiles) <= set(names)
             else (f"Expected profiles of this scenario, got {limit.profiles}")
         )
