--- a/basalthook/fleet/allocator.py
+++ b/basalthook/fleet/allocator.py
@@ -20,8 +20,8 @@
 Unit = tuple[int, int]  # (limit id, host hash); the host hash is 0 for tokens
 
 
-class LeaseRequest(NamedTuple):
-    """One unit of a holder's request."""
+class UnitRequest(NamedTuple):
+    """What a holder requests of one unit."""
 
     unit: Unit
     holds: int  # places that it may use; tokens taken from the last answered grant
@@ -100,7 +100,7 @@
     # ---- requests
 
     def request(
-        self, now: int, holder: tuple, sequence: int, answered_sequence: int, requests: list[LeaseRequest]
+        self, now: int, holder: tuple, sequence: int, answered_sequence: int, requests: list[UnitRequest]
     ) -> list[tuple]:
         """Handles a holder's request and returns the grants to send.
 
@@ -139,7 +139,7 @@
         state.sequence, state.version, state.expires_at = sequence, 1, now + self.grant_lifetime
         return [self.grant_of(now, holder), *self.serve_waiting(now, freed, holder)]
 
-    def grant_places(self, now: int, state: HolderState, holder: tuple, request: LeaseRequest) -> list[Unit]:
+    def grant_places(self, now: int, state: HolderState, holder: tuple, request: UnitRequest) -> list[Unit]:
         lent_before = state.places_out.get(request.unit, 0)
         # A holder may not claim more than it was lent; what an earlier leader lent, only the holder knows.
         holds = request.holds if now < self.capacity_known_from else min(request.holds, lent_before)
@@ -159,7 +159,7 @@
         now: int,
         state: HolderState,
         holder: tuple,
-        request: LeaseRequest,
+        request: UnitRequest,
         previous_grant: int,
         answer_taken: bool,
     ) -> None:
--- a/basalthook/fleet/lease_holder.py
+++ b/basalthook/fleet/lease_holder.py
@@ -5,7 +5,7 @@
 do to the datagrams, all holders together never use more than the leader has counted for them.
 """
 
-from .allocator import LeaseRequest, Unit
+from .allocator import Unit, UnitRequest
 from .bounds import LEASE_TICKS, MAX_CLOCK_DRIFT, TOKEN_LIFETIME
 from .election import shorten_for_drift
 
@@ -22,7 +22,8 @@
         self.sequence = self.answered_sequence = self.version = 0
         self.requested_at = now
         self.awaiting_answer = False  # the last request is unanswered
-        self.answer_delay, self.first_requested_at = 0.0, now  # mean in ticks, retries included
+        # moving average in ticks from the first try of a request to its answer
+        self.answer_delay, self.first_requested_at = 0.0, now
         self.unanswered = 0  # requests in a row without an answer
         self.held_places: dict[Unit, int] = {}  # usable before `places_until`
         self.places_until = 0
@@ -70,7 +71,7 @@
 
     def request(
         self, now: int, places: dict[Unit, int], tokens: dict[Unit, int], in_use: dict[Unit, int]
-    ) -> tuple[int, int, list[LeaseRequest]]:
+    ) -> tuple[int, int, list[UnitRequest]]:
         """Returns (sequence, sequence answered last, rows) of a new request.
 
         `places`, `tokens`: what is wanted. `in_use`: places under a running attempt, which can't be given up.
@@ -88,10 +89,10 @@
                 held_places[unit] = places_kept
             if places_kept or places_out or places.get(unit):
                 requests.append(
-                    LeaseRequest(unit, max(places_kept, places_out), max(places.get(unit, 0), places_out))
+                    UnitRequest(unit, max(places_kept, places_out), max(places.get(unit, 0), places_out))
                 )
         for unit, count in tokens.items():
-            requests.append(LeaseRequest(unit, self.granted_tokens.get(unit, 0), count))
+            requests.append(UnitRequest(unit, self.granted_tokens.get(unit, 0), count))
         self.held_places, self.wanted_places = held_places, dict(places)
         self.sequence += 1
         self.version, self.requested_at, self.awaiting_answer = 0, now, True
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -11,7 +11,7 @@
 
 from ..policy import interface as i
 from . import election
-from .allocator import LeaseAllocator, LeaseRequest, Unit
+from .allocator import LeaseAllocator, Unit, UnitRequest
 from .bounds import (
     BOUNDED,
     HOST,
@@ -43,7 +43,7 @@
 PREFETCH, MAX_PREFETCH = 2_500, TOKEN_LIFETIME * 3 // 4
 MAX_UNANSWERED = 4  # requests lost in a row after which another voter is asked
 WAITING_EXAMINED = 8  # waiting transactions for which places are requested
-SCARCITY_WINDOW = 5_000  # ticks for which an answer without places or tokens counts as current
+SCARCITY_WINDOW = 5_000  # ticks after a request for which its answer shows that nothing is free
 # Refused clients are told to retry after a random time between a third of this and all of it.
 RETRY_SPREAD = 3 * TICKS_PER_SECOND // 2
 FOREVER = 2**60
@@ -460,7 +460,7 @@
             self.send(name, [NOT_LEADER, self.me, sequence, leader])
             return
         requests = [
-            LeaseRequest((row[0], row[1]), row[2], row[3])
+            UnitRequest((row[0], row[1]), row[2], row[3])
             for row in rows[: 2 * MAX_UNITS]
             if are_counts(row, 4)
         ]
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -190,16 +190,15 @@
         self.states: dict[str, HostState] = {}  # by subject; entries expire with their strikes
         self.own_reports: dict[str, HostReport] = {}  # subject -> last published; entries expire
         self.requested_trial: tuple | None = None  # (host, round) given to the decision core
-        self.running_trial: tuple | None = (
-            None  # (tx, host, subject, round, successes, required, reason, started_at)
-        )
+        # (tx, host, subject, round, successes before it, required, reason, started_at)
+        self.running_trial: tuple | None = None
         self.listed_hosts, self.host_by_subject = None, {}  # ready hosts when last read; subject -> host
         self.last_judged: tuple | None = None  # hosts and trial of the last event
         self.refresh_at = 0
         self.own_link_bad = False
         self.reports: dict[str, list[HostReport]] = {}
         self.on_urgent_fact = lambda: None  # called when a fact should reach other members at once
-        self.on_evidence_used = lambda name, kind, reports: None  # called when evidence keeps a host out
+        self.on_evidence_used = lambda subject, kind, reports: None  # called when evidence keeps a host out
 
     # ---- events and effects of the decision core
 
@@ -218,17 +217,26 @@
         return effects
 
     def trial_started(self, now: int, tx: int, host: int, round_: int) -> None:
-        name = subject_of(self.proxy.servers[host].line)
-        state = self.states.get(name)
+        subject = subject_of(self.proxy.servers[host].line)
+        state = self.states.get(subject)
         if state is None:
             return
         last_trial = max(
-            (trial for trial in self.live_trials(now) if trial.subject == name),
+            (trial for trial in self.live_trials(now) if trial.subject == subject),
             key=lambda t: t.round,
             default=None,
         )
         previous = last_trial.successes if last_trial is not None and last_trial.phase == SUCCEEDED else 0
-        self.running_trial = tx, host, name, round_, previous, state.required_successes(), state.reason, now
+        self.running_trial = (
+            tx,
+            host,
+            subject,
+            round_,
+            previous,
+            state.required_successes(),
+            state.reason,
+            now,
+        )
         self.publish_trial(now, UNDER_WAY, previous)
 
     def trial_ended(self, now: int, outcome: str) -> None:
@@ -240,9 +248,9 @@
         self.running_trial = None
 
     def publish_trial(self, now: int, phase: int, successes: int) -> None:
-        _, _, name, round_, _, required, reason, started_at = self.running_trial
+        _, _, subject, round_, _, required, reason, started_at = self.running_trial
         value = (round_, phase, successes, required, reason, now - started_at, self.observations.zone)
-        self.table.publish(now, TRIAL_FACT, name, value, len(self.live()))
+        self.table.publish(now, TRIAL_FACT, subject, value, len(self.live()))
         self.on_urgent_fact()
 
     # ---- shared facts
@@ -254,15 +262,18 @@
             self.host_by_subject = {subject_of(server.line): server.id for server in self.listed_hosts}
             self.observations.forget_unlisted(self.proxy.servers)
         reports = {}
-        for name in self.table.subjects(HOST_FACT):
-            if name in self.host_by_subject:
-                reports[name] = self.table.parsed(now, HOST_FACT, name, parse_report)
+        for subject in self.table.subjects(HOST_FACT):
+            if subject in self.host_by_subject:
+                reports[subject] = self.table.parsed(now, HOST_FACT, subject, parse_report)
         bad_link_members = members_with_bad_link(
-            {name: {r.author for r in host_reports if r.blames} for name, host_reports in reports.items()}
+            {
+                subject: {r.author for r in host_reports if r.blames}
+                for subject, host_reports in reports.items()
+            }
         )
         self.reports = {
-            name: [r for r in host_reports if r.author not in bad_link_members]
-            for name, host_reports in reports.items()
+            subject: [r for r in host_reports if r.author not in bad_link_members]
+            for subject, host_reports in reports.items()
         }
         if (self.table.me in bad_link_members) != self.own_link_bad:
             self.own_link_bad = self.table.me in bad_link_members
@@ -271,8 +282,8 @@
     def live_trials(self, now: int) -> list[Trial]:
         return [
             trial
-            for name in self.table.subjects(TRIAL_FACT)
-            for trial in self.table.parsed(now, TRIAL_FACT, name, parse_trial)
+            for subject in self.table.subjects(TRIAL_FACT)
+            for trial in self.table.parsed(now, TRIAL_FACT, subject, parse_trial)
         ]
 
     # ---- evaluation
@@ -296,9 +307,9 @@
             ):
                 latest[trial.subject] = trial
         baseline_share = self.median_fault_share()
-        names = set(self.reports) | set(self.states) | set(latest)
-        for name in sorted(names, key=lambda n: (self.states[n].since if n in self.states else now, n)):
-            self.update_state(now, name, latest.get(name), baseline_share)
+        subjects = set(self.reports) | set(self.states) | set(latest)
+        for subject in sorted(subjects, key=lambda n: (self.states[n].since if n in self.states else now, n)):
+            self.update_state(now, subject, latest.get(subject), baseline_share)
         return self.judged_event(now, self.select_trial(now, trials, latest))
 
     def publish_reports(self, now: int, received_until: int, blamed: set[int]) -> None:
@@ -308,19 +319,23 @@
         several members blame. For a host that is out it reports only that an answer came since.
         """
         servers = self.proxy.servers
-        names = {subject_of(servers[host].line): host for host in blamed if host in servers}
+        hosts_to_report = {subject_of(servers[host].line): host for host in blamed if host in servers}
         reports_wanted = {
-            name for name, reports in self.reports.items() if sum(r.blames for r in reports) >= SILENCE_QUORUM
+            subject
+            for subject, reports in self.reports.items()
+            if sum(r.blames for r in reports) >= SILENCE_QUORUM
         }
-        reports_wanted |= {name for name, report in self.own_reports.items() if report.blames}
-        out = {name for name, state in self.states.items() if state.state == OUT}
-        names |= {
-            name: self.host_by_subject[name] for name in reports_wanted | out if name in self.host_by_subject
+        reports_wanted |= {subject for subject, report in self.own_reports.items() if report.blames}
+        out = {subject for subject, state in self.states.items() if state.state == OUT}
+        hosts_to_report |= {
+            subject: self.host_by_subject[subject]
+            for subject in reports_wanted | out
+            if subject in self.host_by_subject
         }
-        for name in sorted(names):
+        for subject in sorted(hosts_to_report):
             report, previous = (
-                self.observations.report(now, received_until, self.proxy, names[name]),
-                self.own_reports.get(name),
+                self.observations.report(now, received_until, self.proxy, hosts_to_report[subject]),
+                self.own_reports.get(subject),
             )
             since = now - previous.published_at if previous else OUTCOME_WINDOW
             worse = report.blames and (
@@ -328,14 +343,16 @@
                 or report.faults > previous.faults
                 or (report.late and report.late_sent_at > previous.late_sent_at)
             )
-            if name in out:
-                doubted_at = self.states[name].late_sent_at
+            if subject in out:
+                doubted_at = self.states[subject].late_sent_at
             else:
-                doubted_at = max((r.late_sent_at for r in self.reports.get(name, ()) if r.late), default=now)
+                doubted_at = max(
+                    (r.late_sent_at for r in self.reports.get(subject, ()) if r.late), default=now
+                )
             clears = report.heard_at > doubted_at and (previous is None or previous.heard_at <= doubted_at)
             counts_changed = (
-                name in reports_wanted
-                and name not in out
+                subject in reports_wanted
+                and subject not in out
                 and (report[2:8] != previous[2:8] if previous else report.answers > 0)
             )
             if (
@@ -345,14 +362,16 @@
                 or counts_changed
                 and since >= COUNTS_REPORT_INTERVAL
             ):
-                self.own_reports[name] = report
+                self.own_reports[subject] = report
                 self.table.publish(
-                    now, HOST_FACT, name, report_value(self.observations.zone, report), len(self.live())
+                    now, HOST_FACT, subject, report_value(self.observations.zone, report), len(self.live())
                 )
-        for name in [
-            name for name, report in self.own_reports.items() if now - report.published_at > OUTCOME_WINDOW
+        for subject in [
+            subject
+            for subject, report in self.own_reports.items()
+            if now - report.published_at > OUTCOME_WINDOW
         ]:
-            del self.own_reports[name]
+            del self.own_reports[subject]
 
     def median_fault_share(self) -> float:
         """Returns the median share of faults over all ready hosts; a host without reports counts as 0."""
@@ -363,9 +382,9 @@
         median_index = (len(self.host_by_subject) - 1) // 2 - (len(self.host_by_subject) - len(shares))
         return shares[median_index] if 0 <= median_index < len(shares) else 0.0
 
-    def update_state(self, now: int, name: str, trial: Trial | None, baseline_share: float) -> None:
-        state = self.states.get(name) or HostState()
-        reports = self.reports.get(name, [])
+    def update_state(self, now: int, subject: str, trial: Trial | None, baseline_share: float) -> None:
+        state = self.states.get(subject) or HostState()
+        reports = self.reports.get(subject, [])
         detected, by, reason = self.detect(now, state, reports, trial, baseline_share)
         next_state = TRANSITIONS.get((state.state, detected))
         if next_state == OUT and self.out_limit_reached():
@@ -374,19 +393,19 @@
             if next_state == OUT:
                 state.strikes = state.strikes + 1 if now - state.last_strike_at < STRIKE_MEMORY else 1
                 state.last_strike_at, state.reason = now, reason
-            if next_state == RETURNING and name in self.host_by_subject:
-                self.observations.reset(self.host_by_subject[name], now)
+            if next_state == RETURNING and subject in self.host_by_subject:
+                self.observations.reset(self.host_by_subject[subject], now)
             logged_reason = detected if detected == "forgotten" else state.reason
             self.say(
                 "verdict",
-                host=name,
+                host=subject,
                 state=next_state,
                 reason=logged_reason,
                 by=[report.author for report in by][:8],
                 facts=[report.fact_id for report in by][:8],
             )
             state.state, state.since = next_state, now
-            self.states[name] = state
+            self.states[subject] = state
         if state.state == OUT and by:
             state.blamed_by = tuple(sorted({report.author for report in by}))
             state.evidence_at = max(state.evidence_at, *(report.published_at for report in by))
@@ -395,13 +414,13 @@
                 state.late_sent_at = max(
                     state.late_sent_at, max((r.late_sent_at for r in by if r.late), default=0)
                 )
-            self.on_evidence_used(name, kind, by)
-        if name in self.states and (
-            name not in self.host_by_subject
+            self.on_evidence_used(subject, kind, by)
+        if subject in self.states and (
+            subject not in self.host_by_subject
             or state.state == OPEN
             and (now - state.last_strike_at >= STRIKE_MEMORY)
         ):
-            del self.states[name]
+            del self.states[subject]
 
     def detect(
         self,
@@ -452,7 +471,9 @@
 
         Traffic that is kept from some hosts must not overload those that can take little yet.
         """
-        out = sum(state.state == OUT for name, state in self.states.items() if name in self.host_by_subject)
+        out = sum(
+            state.state == OUT for subject, state in self.states.items() if subject in self.host_by_subject
+        )
         fresh = sum(server.fresh_from is not None for server in self.listed_hosts)
         return out + fresh >= int(MAX_OUT_SHARE * len(self.listed_hosts))
 
@@ -461,17 +482,19 @@
     def select_trial(self, now: int, trials: list[Trial], latest: dict[str, Trial]) -> tuple | None:
         """Returns (host, round) of the trial that this proxy should start now, or None."""
         out = [
-            name for name, state in self.states.items() if state.state == OUT and name in self.host_by_subject
+            subject
+            for subject, state in self.states.items()
+            if state.state == OUT and subject in self.host_by_subject
         ]
         if not out:
             return None
         newest = max(trials, key=lambda trial: (trial.round, trial.started_at), default=None)
         if newest is None:
-            round_, due = 1, min(self.states[name].since for name in out) + TRIAL_INTERVAL
+            round_, due = 1, min(self.states[subject].since for subject in out) + TRIAL_INTERVAL
         else:
             if newest.phase == UNDER_WAY and now - newest.started_at < TRIAL_TIMEOUT:
                 return None
-            fresh = any(now - self.states[name].since < RECENTLY_OUT for name in out)
+            fresh = any(now - self.states[subject].since < RECENTLY_OUT for subject in out)
             interval = min(
                 TRIAL_INTERVAL if fresh else SLOW_TRIAL_INTERVAL,
                 max(MIN_TRIAL_INTERVAL, TRIAL_CYCLE // len(out)),
@@ -483,9 +506,9 @@
         if now < due or trial_order(members, round_).get(self.table.me, len(members)) >= candidates:
             return None
 
-        def priority(name):
-            last = latest.get(name)
-            return (last is None or last.phase != SUCCEEDED, last.started_at if last else 0, name)
+        def priority(subject):
+            last = latest.get(subject)
+            return (last is None or last.phase != SUCCEEDED, last.started_at if last else 0, subject)
 
         return self.host_by_subject[min(out, key=priority)], round_
 
@@ -493,8 +516,8 @@
 
     def judged_event(self, now: int, trial: tuple | None) -> i.Judged | None:
         hosts = []
-        for name, state in self.states.items():
-            host = self.host_by_subject.get(name)
+        for subject, state in self.states.items():
+            host = self.host_by_subject.get(subject)
             if host is None:
                 continue
             if state.state == OUT:
@@ -516,8 +539,8 @@
     def view(self, now: int) -> list[dict]:
         """Returns rows for operators: each host out or returning, the evidence, its age and lifetime."""
         rows = []
-        for name, state in sorted(self.states.items()):
-            if state.state == OPEN or name not in self.host_by_subject:
+        for subject, state in sorted(self.states.items()):
+            if state.state == OPEN or subject not in self.host_by_subject:
                 continue
             reports = [
                 {
@@ -530,7 +553,7 @@
                     "age_ms": (now - r.published_at) // 10,
                     "life_ms": self.table.lifetimes[HOST_FACT] // 10,
                 }
-                for r in self.reports.get(name, ())
+                for r in self.reports.get(subject, ())
             ]
             trial_rows = [
                 {
@@ -541,11 +564,11 @@
                     "life_ms": self.table.lifetimes[TRIAL_FACT] // 10,
                 }
                 for t in self.live_trials(now)
-                if t.subject == name
+                if t.subject == subject
             ]
             rows.append(
                 {
-                    "host": self.host_by_subject[name],
+                    "host": self.host_by_subject[subject],
                     "state": state.state,
                     "reason": state.reason,
                     "since_ms": (now - state.since) // 10,
--- a/basalthook/membership/member.py
+++ b/basalthook/membership/member.py
@@ -435,7 +435,9 @@
     """Encodes as many of the first updates as fit one datagram."""
     encoded, bytes_left = [], MAX_UPDATE_BYTES
     for update in updates:
-        bytes_left -= len(update.name.encode()) + len(update.host) + len(update.by.encode()) + 30  # at most
+        bytes_left -= (
+            len(update.name.encode()) + len(update.host) + len(update.by.encode()) + 30
+        )  # at most, with the other fields
         if bytes_left < 0:
             break
         encoded.append(list(update))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from basalthook.config import fleet as fleet_file
-from basalthook.fleet.allocator import LeaseAllocator, LeaseRequest
+from basalthook.fleet.allocator import LeaseAllocator, UnitRequest
 from basalthook.fleet.bounds import (
     BOUNDED,
     HOST,
@@ -183,7 +183,7 @@
     def request(self, holder_name, sequence, *rows, got=0):
         """Returns {name: granted} for all holders that are answered."""
         answers = self.allocator.request(
-            self.now, (holder_name, 1), sequence, got, [LeaseRequest(*row) for row in rows]
+            self.now, (holder_name, 1), sequence, got, [UnitRequest(*row) for row in rows]
         )
         return {name: granted for (name, _), _, _, granted, _ in answers}
 
@@ -246,7 +246,7 @@
         holder.accept_grant(10, sequence, 1, {PLACES_UNIT: 2}, set(), lambda unit: False)
         _, _, rows = holder.request(90_000, {}, {}, {PLACES_UNIT: 1})
         self.assertEqual(
-            (rows, holder.usable_places(90_000, PLACES_UNIT)), ([LeaseRequest(PLACES_UNIT, 1, 1)], 0)
+            (rows, holder.usable_places(90_000, PLACES_UNIT)), ([UnitRequest(PLACES_UNIT, 1, 1)], 0)
         )
 
 
