--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -45,7 +45,7 @@
         BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
         BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
     )
-    told = scenario.parse(
+    parsed = scenario.parse(
         head.replace("proxies = 60", f"proxies = {proxies}")
         .replace("seconds = 50", f"seconds = {seconds}")
         .replace("cores = 2", f"cores = 2\nzones = {list(zones)}")
@@ -54,7 +54,7 @@
         + fleet,
         "day.toml",
     )
-    run = decisions.Fleet(told, seed)
+    run = decisions.Fleet(parsed, seed)
     run.run()
     marks = {f"{mark:x}": host for host, mark in enumerate(run.marks)}
     out = Counter(
@@ -65,7 +65,7 @@
     return (
         run,
         decisions.found(
-            told, run.wire, decisions.BORN, "decisions", talk=run.talking.figures(told, decisions.BORN)
+            parsed, run.wire, decisions.BORN, "decisions", talk=run.talking.figures(parsed, decisions.BORN)
         ),
         out,
     )
@@ -208,9 +208,9 @@
         self.assertLess(max(firsts.values()), 60)
 
     def test_reports_round_trip_and_malformed_values_are_rejected(self):
-        told = make_report("a", 500, 300, 1, 2, 3)
-        fact = Fact("a", 1, HOST_FACT, "x", 1, report_value("a", told), 0)
-        self.assertEqual(parse_report(fact, 1_000)._replace(fact_id=0), told)
+        original = make_report("a", 500, 300, 1, 2, 3)
+        fact = Fact("a", 1, HOST_FACT, "x", 1, report_value("a", original), 0)
+        self.assertEqual(parse_report(fact, 1_000)._replace(fact_id=0), original)
         for value in ((), ("a",) * 7, ("a", -1, 0, 0, 0, 0, 0), ("a", True, 0, 0, 0, 0, 0), (0,) * 7):
             self.assertIsNone(parse_report(fact._replace(value=value), 1_000), value)
             self.assertIsNone(verdicts.parse_trial(fact._replace(value=value), 1_000), value)
@@ -218,8 +218,8 @@
 
 class MaliciousMembers(unittest.TestCase):
     def setUp(self):
-        told = scenario.parse(BASE_SCENARIO, "x")
-        agreed = terms.agreement(settings(told, 0, "a"))
+        parsed = scenario.parse(BASE_SCENARIO, "x")
+        agreed = terms.agreement(settings(parsed, 0, "a"))
         self.proxy = Proxy(agreed, 1, 0)
         self.proxy.handle(
             0,
