--- a/basalthook/policy/interface.py
+++ b/basalthook/policy/interface.py
@@ -144,7 +144,7 @@
 
 
 class NewsCame(NamedTuple):
-    """For the decider beside the decisions that counts news (`fleet.counting`)."""
+    """For the decider beside the decisions that counts news (`fleet.aggregation`)."""
 
     sender: int  # another proxy's position; whatever it says is no more than its word
     host: int
