--- a/basalthook/fleet/allocator.py
+++ b/basalthook/fleet/allocator.py
@@ -72,6 +72,7 @@
     # ---- free capacity
 
     def free(self, now: int, unit: Unit) -> int:
+        """Returns the places or whole tokens that may be granted now."""
         limit = self.limits[unit[0]]
         if limit.counts_places:
             return (
--- a/basalthook/fleet/election.py
+++ b/basalthook/fleet/election.py
@@ -82,6 +82,7 @@
             self.next_action_at = now + self.term // 8
 
     def request_votes(self, now: int) -> None:
+        """Starts a round: asks all voters, this one included, for their votes."""
         self.round += 1
         self.ballots[self.round] = now, set()
         while len(self.ballots) > MAX_OPEN_ROUNDS:
--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -91,6 +91,7 @@
         self.hosts_with_faults: set[int] = set()  # may include hosts whose faults have aged out
 
     def record(self, now: int, event: i.HopEnded) -> None:
+        """Records the outcome of an attempt."""
         category = OUTCOME_CATEGORIES.get(event.outcome)
         if category is None or now - event.elapsed < self.ignore_before.get(event.host, 0):
             return
--- a/basalthook/fleet/facts.py
+++ b/basalthook/fleet/facts.py
@@ -138,6 +138,7 @@
             self.newest_life[author] = life
 
     def insert(self, entry: Entry) -> None:
+        """Replaces the author's previous fact on the subject, and drops what exceeds the bounds."""
         fact = entry.fact
         self.void_earlier_lives(fact.author, fact.life)
         author_entries = self.by_author.setdefault(fact.author, {})
@@ -246,6 +247,7 @@
         return digests_in_range[:limit], end
 
     def digest(self, now: int, author: str) -> int:
+        """Returns the exclusive or of the ids of the author's live facts."""
         digest = 0
         for entry in self.by_author.get(author, {}).values():
             if now - entry.published_at <= self.lifetimes[entry.fact.kind]:
--- a/basalthook/fleet/gossip.py
+++ b/basalthook/fleet/gossip.py
@@ -70,6 +70,7 @@
         self.on_message = lambda now, message: None
 
     def begin(self, now: int, known: list[Update] = ()) -> None:
+        """Starts the exchange. `known`: members known to the caller."""
         self.last_tick_at = self.last_received_at = now
         self.next_repair_at, self.next_expiry_at = now + self.rng.randrange(REPAIR_INTERVAL), now
         self.member.begin(now, known)
@@ -184,6 +185,7 @@
             self.send_metered(source, [FETCH, self.name, self.open_request(now), missing])
 
     def on_fetch(self, now: int, message: list, source) -> None:
+        """Sends the facts that were asked for by id."""
         self.send_facts(source, message[2], self.table.facts_for(now, valid_ids(message[3], MAX_IDS)))
 
     def on_fetch_differing(self, now: int, message: list, source) -> None:
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -117,6 +117,7 @@
     # ---- events and effects of the decision core
 
     def handle(self, now: int, event, received_until: int | None = None) -> list:
+        """Passes an event on, counts demand and refusals, and requests leases for waiting transactions."""
         self.now = now
         if isinstance(event, i.TxArrived):  # counts as demand whether or not it is met
             unit = self.unit_by_key.get(self.proxy.allowed.key((i.FIRST, event.profile)))
@@ -260,6 +261,7 @@
         return hosts
 
     def request_lease(self, now: int) -> None:
+        """Sends a request to the leader if one is due."""
         if self.left or now - self.holder.requested_at < MIN_REQUEST_INTERVAL and self.holder.sequence:
             return
         self.refresh_hosts()
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -203,6 +203,7 @@
     # ---- events and effects of the decision core
 
     def handle(self, now: int, event, received_until: int | None = None) -> list:
+        """Passes an event to the decision core; records outcomes and follows trials."""
         if isinstance(event, i.HopEnded):
             self.observations.record(now, event)
             if self.running_trial is not None and self.running_trial[:2] == (event.tx, event.host):
@@ -217,6 +218,7 @@
         return effects
 
     def trial_started(self, now: int, tx: int, host: int, round_: int) -> None:
+        """Publishes that a trial is under way, with the successes in a row before it."""
         subject = subject_of(self.proxy.servers[host].line)
         state = self.states.get(subject)
         if state is None:
@@ -240,6 +242,7 @@
         self.publish_trial(now, UNDER_WAY, previous)
 
     def trial_ended(self, now: int, outcome: str) -> None:
+        """Publishes how the trial ended."""
         previous = self.running_trial[4]
         if outcome in (i.COMMITTED, i.DECLINED):
             self.publish_trial(now, SUCCEEDED, previous + 1)
@@ -383,6 +386,7 @@
         return shares[median_index] if 0 <= median_index < len(shares) else 0.0
 
     def update_state(self, now: int, subject: str, trial: Trial | None, baseline_share: float) -> None:
+        """Moves one host to its next state, if the facts call for one, and logs the verdict."""
         state = self.states.get(subject) or HostState()
         reports = self.reports.get(subject, [])
         detected, by, reason = self.detect(now, state, reports, trial, baseline_share)
@@ -515,6 +519,7 @@
     # ---- output
 
     def judged_event(self, now: int, trial: tuple | None) -> i.Judged | None:
+        """Returns the event with all hosts out or returning; None if nothing changed or is due."""
         hosts = []
         for subject, state in self.states.items():
             host = self.host_by_subject.get(subject)
--- a/basalthook/membership/member.py
+++ b/basalthook/membership/member.py
@@ -62,6 +62,8 @@
 
 
 class Suspicion:
+    """A running suspicion: when it started and which members' probes support it."""
+
     __slots__ = ("since", "witnesses")
 
     def __init__(self, since: int, by: str) -> None:
@@ -69,6 +71,7 @@
 
 
 def parse_update(encoded) -> Update | None:
+    """Decodes an update unpacked by msgpack; None if it is malformed."""
     if not isinstance(encoded, list | tuple) or len(encoded) != 7:
         return None
     name, host, port, life, incarnation, state, by = encoded
@@ -190,6 +193,7 @@
             suspicion.since += gap
 
     def suspicion_timeout(self, suspicion: Suspicion) -> int:
+        """Returns the ticks after which a suspicion makes its member dead."""
         shortest = MIN_SUSPICION_FACTOR * PROBE_PERIOD * max(1.0, log10(max(1, len(self.live_names))))
         longest, confirmations = (
             shortest * SUSPICION_STRETCH,
@@ -202,6 +206,7 @@
         )
 
     def run_probe(self, now: int) -> None:
+        """Advances the current probe and starts the next one when it is due."""
         slowdown = 1 + self.health_penalty
         if self.probe is not None:
             name, nonce, indirect, since = self.probe
@@ -354,6 +359,7 @@
                     self.apply_update(now, update, by)
 
     def apply_update(self, now: int, update: Update, by: str) -> None:
+        """Applies an update received from `by`, and passes it on if it is news."""
         if update.name == self.name:
             return self.refute(update)
         previous = self.peers.get(update.name)
--- a/basalthook/membership/wire.py
+++ b/basalthook/membership/wire.py
@@ -27,6 +27,7 @@
 
 
 def encode(key: bytes, message: list) -> bytes:
+    """Returns the datagram for a message."""
     body = msgpack.packb(message)
     return bytes([VERSION]) + checksum(key, body) + body
 
