--- a/basalthook/membership/wire.py
+++ b/basalthook/membership/wire.py
@@ -1,9 +1,8 @@
-"""Datagrams among members: version, keyed checksum, msgpack. Whatever is not sound is nothing, with its
-reason.
+"""Encoding of datagrams between members: version, keyed checksum, msgpack.
 
-Form: one byte of version, eight of blake2b keyed with the fleet's key over the rest, the message. Replies
-carry the nonce of a question that is still open, so a datagram played again answers nothing; the rest of what
-is told is ordered by lives and incarnations, so that an old one changes nothing.
+A datagram is one byte of version, eight bytes of blake2b over the message, keyed with the fleet's key, and
+the message. Replies carry the nonce of a request that is still open, so a replayed datagram answers nothing;
+other content is ordered by lives and incarnations, so that old content changes nothing.
 """
 
 from hashlib import blake2b
@@ -11,36 +10,43 @@
 
 import msgpack
 
-VERSION, CHECK, MOST = 1, 8, 1400
+VERSION, CHECKSUM_BYTES, MAX_DATAGRAM = 1, 8, 1400
 # no more elements than a datagram has bytes
-DEPTH = {"max_array_len": MOST, "max_map_len": 0, "max_str_len": 512, "max_bin_len": 0, "max_ext_len": 0}
-SPOILT, OTHER_VERSION, TOO_LONG = "spoilt", "another version", "too long"
+UNPACK_LIMITS = {
+    "max_array_len": MAX_DATAGRAM,
+    "max_map_len": 0,
+    "max_str_len": 512,
+    "max_bin_len": 0,
+    "max_ext_len": 0,
+}
+CORRUPT, OTHER_VERSION, TOO_LONG = "spoilt", "another version", "too long"
 
 
-def check(key: bytes, body: bytes) -> bytes:
-    return blake2b(body, digest_size=CHECK, key=key).digest()
+def checksum(key: bytes, body: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_BYTES, key=key).digest()
 
 
-def sealed(key: bytes, message: list) -> bytes:
+def encode(key: bytes, message: list) -> bytes:
+    """Returns the datagram for a message."""
     body = msgpack.packb(message)
-    return bytes([VERSION]) + check(key, body) + body
+    return bytes([VERSION]) + checksum(key, body) + body
 
 
-def opened(key: bytes, data: bytes) -> list | str:
-    """The message: a list that begins with its kind, who sent it and a nonce; or why there is none."""
-    if len(data) > MOST:
+def decode(key: bytes, data: bytes) -> list | str:
+    """Returns the message, a list that starts with kind, sender and nonce; or the reason to refuse it."""
+    if len(data) > MAX_DATAGRAM:
         return TOO_LONG
-    if len(data) < 2 + CHECK:
-        return SPOILT
+    if len(data) < 2 + CHECKSUM_BYTES:
+        return CORRUPT
     if data[0] != VERSION:
         return OTHER_VERSION
-    body = data[1 + CHECK :]
-    if not compare_digest(data[1 : 1 + CHECK], check(key, body)):
-        return SPOILT
+    body = data[1 + CHECKSUM_BYTES :]
+    if not compare_digest(data[1 : 1 + CHECKSUM_BYTES], checksum(key, body)):
+        return CORRUPT
     try:
-        message = msgpack.unpackb(body, **DEPTH)
+        message = msgpack.unpackb(body, **UNPACK_LIMITS)
     except (ValueError, msgpack.UnpackException, RecursionError):
-        return SPOILT
+        return CORRUPT
     if (
         not isinstance(message, list)
         or len(message) < 3
@@ -49,5 +55,5 @@
         or not 0 < len(message[1]) <= 64
         or not isinstance(message[2], int)
     ):
-        return SPOILT
+        return CORRUPT
     return message
--- a/basalthook/program/fleet_commands.py
+++ b/basalthook/program/fleet_commands.py
@@ -168,27 +168,28 @@
         raise click.UsageError("explain: FILE is missing")
     try:
         config = fleet.read(path)
-    except fleet.BadFleet as error:
+    except fleet.FleetFileError as error:
         fail(str(error))
-    hard_limit_ticks, rows = int(hard_limit * bounds.TICKS), []
+    hard_limit_ticks, rows = int(hard_limit * bounds.TICKS_PER_SECOND), []
     for entry in config.limits:
         limit = bounds.Limit(entry.name, entry.kind, entry.amount, entry.burst, (), entry.over, entry.floor)
         own = (
             f"{int(limit.floor * limit.amount)} places a host over all proxies"
-            if limit.places
-            else f"{limit.own_rate(proxies)[0] * bounds.TICKS:g} a second each"
+            if limit.counts_places
+            else f"{limit.own_token_rate(proxies)[0] * bounds.TICKS_PER_SECOND:g} a second each"
         )
         rows.append(
             {
                 "limit": limit.name,
                 "kind": limit.kind,
                 "amount": limit.amount,
-                "lent": limit.lent(),
+                "lent": limit.lendable(),
                 "own": own,
-                "over_most": limit.over_bound(),
-                "stale_s": limit.stale() / bounds.TICKS,
-                "unused_after_death_s": limit.unused_after_death(hard_limit_ticks) / bounds.TICKS,
-                "paused_after_keeper_s": limit.paused_after_keeper(hard_limit_ticks) / bounds.TICKS,
+                "over_most": limit.max_excess(),
+                "stale_s": limit.max_staleness() / bounds.TICKS_PER_SECOND,
+                "unused_after_death_s": limit.unused_after_death(hard_limit_ticks) / bounds.TICKS_PER_SECOND,
+                "paused_after_keeper_s": limit.pause_after_leader_loss(hard_limit_ticks)
+                / bounds.TICKS_PER_SECOND,
             }
         )
     print_rows(
--- a/basalthook/program/fleet_member.py
+++ b/basalthook/program/fleet_member.py
@@ -5,10 +5,10 @@
 
 from random import Random
 
-from ..fleet.counting import Counting
-from ..fleet.limits import KINDS, Limits
-from ..fleet.talk import Talk
-from ..fleet.verdicts import Verdicts
+from ..fleet.aggregation import FaultAggregator
+from ..fleet.gossip import Gossip
+from ..fleet.limits import MESSAGE_LENGTHS, FleetLimits
+from ..fleet.verdicts import HostVerdicts
 from ..membership.driver import Driver
 from ..membership.member import STATES
 from ..routing import clock as clocks
@@ -57,7 +57,7 @@
         lives = {kind: int(seconds * TICKS_PER_SECOND) for kind, seconds in config.lives.items()}
         life = clocks.wall_ns() // 1_000_000
         self.driver: Driver | None = None
-        self.talk = Talk(
+        self.talk = Gossip(
             config.name or name,
             config.address,
             life,
@@ -70,14 +70,14 @@
         )
         self.verdict_engine = self.limits = None
         if config.verdicts:
-            self.verdict_engine = Verdicts(
+            self.verdict_engine = HostVerdicts(
                 owner.policy, self.talk.table, agreed.zone, self.talk.live, self.log_event
             )
-            self.verdict_engine.hurry = self.talk.rumours
-        owner.event_handler = self.verdict_engine or Counting(owner.policy)
+            self.verdict_engine.on_urgent_fact = self.talk.send_rumours
+        owner.event_handler = self.verdict_engine or FaultAggregator(owner.policy)
         if limits:
             hard_limit = int(max_hard_limit_s * TICKS_PER_SECOND)
-            self.limits = Limits(
+            self.limits = FleetLimits(
                 owner.event_handler,
                 owner.policy,
                 limits,
@@ -88,19 +88,19 @@
                 agreed.proxies,
                 hard_limit,
                 Random(seed ^ LIMITS_SEED_MASK),
-                self.talk.post,
+                self.talk.send_to,
                 self.talk.live,
                 clock.now(),
                 self.log_event,
             )
-            self.limits.wake = owner.post
-            self.talk.kinds, self.talk.others = KINDS, self.limits.received
+            self.limits.post_event = owner.post
+            self.talk.message_lengths, self.talk.on_message = MESSAGE_LENGTHS, self.limits.received
             owner.event_handler = self.limits
         self.timer = None
 
     def log_event(self, event: str, **fields) -> None:
         """Logs an event; one that names a host also gets the host's id."""
-        numbers = self.verdict_engine.numbers if self.verdict_engine is not None else {}
+        numbers = self.verdict_engine.host_by_subject if self.verdict_engine is not None else {}
         place = self.owner.registry.entries.get(numbers.get(fields.get("host", ""), -1))
         self.log(event, **fields, **({"id": place.id} if place else {}))
 
@@ -115,7 +115,7 @@
             self.timer = self.timers.set(int(RETRY_DELAY_S * TICKS_PER_SECOND), self.begin)
             return
         if self.limits is not None:
-            self.limits.come(self.clock.now())
+            self.limits.activate(self.clock.now())
         self.log("members", listen=list(self.driver.address), name=self.talk.name)
         self.talk.begin(self.clock.now())
         self.tick()
@@ -128,7 +128,7 @@
         if self.limits is not None:
             self.limits.tick(now)
         judgement = (
-            self.verdict_engine.look(now, self.owner.observed_until(now))
+            self.verdict_engine.evaluate(now, self.owner.observed_until(now))
             if self.verdict_engine is not None
             else None
         )
@@ -173,7 +173,7 @@
                 if peer.name in member.suspicions
                 else [],
             }
-            for peer in (member.me, *member.known.values())
+            for peer in (member.me, *member.peers.values())
         ]
         return sorted(rows, key=lambda row: row["name"])
 
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -128,7 +128,7 @@
                 start_up.fleet,
                 start_up.name,
                 start_up.agreed,
-                start_up.fleet.bounds(start_up.profiles),
+                start_up.fleet.to_limits(start_up.profiles),
                 start_up.max_hard_limit_s,
                 start_up.seed,
                 self.owner,
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -59,7 +59,7 @@
         ) from None
     try:
         return fleet.read(path)
-    except fleet.BadFleet as error:
+    except fleet.FleetFileError as error:
         raise StartUpError(str(error)) from None
 
 
@@ -99,7 +99,7 @@
     if fleet is not None and not fleet.name and not MEMBER_NAME.fullmatch(name):
         raise ValueError(f"name: {name!r} is no valid member name; the fleet file may set another")
     if fleet is not None:
-        fleet.bounds(terms.profile_indices(settings))  # raises if a limit names an unknown profile
+        fleet.to_limits(terms.profile_indices(settings))  # raises if a limit names an unknown profile
     listing = document.get("known") or {"version": 0, "full": True, "servers": []}
     known_hosts = catalogue.parse_host_list(listing)
     if known_hosts is None:
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -1,7 +1,7 @@
 """Translates the simulator's wire protocol to events of the policy, and its effects to the wire protocol."""
 
 from .. import terms
-from ..fleet.counting import Counting
+from ..fleet.aggregation import FaultAggregator
 from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol import peer_messages
@@ -26,7 +26,7 @@
     def __init__(self, seed: int, setup: dict, now: int) -> None:
         self.proxy = Proxy(terms.policy_settings(setup), seed, now)
         self.decider = PollingPolicy(
-            DiscoverySchedule(self.proxy.settings, self.proxy.rng), Counting(self.proxy)
+            DiscoverySchedule(self.proxy.settings, self.proxy.rng), FaultAggregator(self.proxy)
         )
         self.profiles = terms.profile_indices(setup)
         # address -> index; grows with every host ever listed, until a restart
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -4,7 +4,7 @@
 import itertools
 import json
 
-from basalthook.fleet.counting import Counting
+from basalthook.fleet.aggregation import FaultAggregator
 from basalthook.policy import interface
 from basalthook.policy.decide import Proxy
 from basalthook.recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
@@ -55,7 +55,7 @@
         self.hosts = {h.line.host_id: h for h in hosts}
         self.proxy = Proxy(interface.PolicySettings(**agreed), seed, self.now)
         self.mind = PollingPolicy(
-            DiscoverySchedule(self.proxy.settings, self.proxy.rng), Counting(self.proxy)
+            DiscoverySchedule(self.proxy.settings, self.proxy.rng), FaultAggregator(self.proxy)
         )
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
