--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -8,20 +8,20 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..policy import interface as i
+from ..policy import interface
 
 WINDOW = 30_000  # ticks that an outcome counts
 HOPS_MOST = 256  # outcomes kept of a host
 LONG_AGO = 10**7
 ANSWERED, ERRED, LOST = "answered", "erred", "lost"
 SORTS = {
-    i.COMMITTED: ANSWERED,
-    i.DECLINED: ANSWERED,
-    i.ERROR: ERRED,
-    i.RESET: ERRED,
-    i.DROPPED: ERRED,
-    i.UNREACHABLE: ERRED,
-    i.TIMED_OUT: LOST,
+    interface.COMMITTED: ANSWERED,
+    interface.DECLINED: ANSWERED,
+    interface.ERROR: ERRED,
+    interface.RESET: ERRED,
+    interface.DROPPED: ERRED,
+    interface.UNREACHABLE: ERRED,
+    interface.TIMED_OUT: LOST,
 }  # of others nothing follows
 
 
@@ -78,7 +78,7 @@
         self.since: dict[int, int] = {}  # host -> hops sent before that tell nothing any more
         self.faulty: set[int] = set()  # hosts with a fault among their outcomes
 
-    def ended(self, now: int, event: i.HopEnded) -> None:
+    def ended(self, now: int, event: interface.AttemptEnded) -> None:
         sort = SORTS.get(event.outcome)
         if sort is None or now - event.elapsed < self.since.get(event.host, 0):
             return
@@ -98,14 +98,14 @@
         """Hosts of which this proxy has a fault to tell."""
         late = {
             server.id
-            for server, sent_at, late_after in proxy.flying.values()
-            if seen - sent_at >= late_after and server.heard <= sent_at
+            for server, sent_at, late_after in proxy.attempts.values()
+            if seen - sent_at >= late_after and server.last_answer <= sent_at
         }
         return late | self.faulty
 
     def word(self, now: int, seen: int, proxy, host: int) -> Word:
         """`seen`: up to then all that came in is told; a silence since may be that of this process."""
-        server, outcomes = proxy.servers[host], self.outcomes.get(host)
+        server, outcomes = proxy.hosts[host], self.outcomes.get(host)
         while outcomes and outcomes[0][0] <= now - WINDOW:
             outcomes.popleft()
         if not outcomes:
@@ -117,7 +117,7 @@
             self.faulty.discard(host)
         late = [
             sent_at
-            for _, sent_at, late_after in server.out.values()
+            for _, sent_at, late_after in server.attempts.values()
             if seen - sent_at >= late_after and sent_at >= self.since.get(host, 0)
         ]
         return Word(
@@ -128,7 +128,7 @@
             counts[LOST],
             counts[ERRED],
             counts[ANSWERED],
-            server.heard,
+            server.last_answer,
             now,
         )
 
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -9,7 +9,7 @@
 from math import ceil
 from random import Random
 
-from ..policy import interface as i
+from ..policy import interface
 from . import seat as seats
 from .bounds import BOUNDED, CLOCKS, HOST, RATE, RETRIES, TERM, TICKS, TOKEN_LIFE, Limit
 from .holder import Holder
@@ -63,9 +63,11 @@
         self.hosts = next((n for n, limit in self.limits.items() if limit.kind == HOST), None)
         self.firsts = [(n, limit) for n, limit in self.limits.items() if limit.kind == RATE]
         self.further = next((n for n, limit in self.limits.items() if limit.kind == RETRIES), None)
-        self.keys = {(n, 0): (i.FIRST, n if limit.profiles else None) for n, limit in self.firsts}
+        self.keys = {
+            (n, 0): (interface.FIRST_ATTEMPT, n if limit.profiles else None) for n, limit in self.firsts
+        }
         if self.further is not None:
-            self.keys[self.further, 0] = i.FURTHER, None
+            self.keys[self.further, 0] = interface.FURTHER_ATTEMPT, None
         self.units = {key: unit for unit, key in self.keys.items()}
         self.ready, self.by_mark, self.marks, self.own = None, {}, {}, {}
         self.peaks: dict[Unit, tuple[int, int]] = {}  # most places in use lately, when; emptied by time
@@ -86,15 +88,15 @@
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
         self.now = now
-        if isinstance(event, i.TxArrived):  # demand, whether or not it is met
-            unit = self.units.get(self.proxy.allowed.key((i.FIRST, event.profile)))
+        if isinstance(event, interface.TxArrived):  # demand, whether or not it is met
+            unit = self.units.get(self.proxy.allowance.resolve_key((interface.FIRST_ATTEMPT, event.profile)))
             if unit is not None:
                 self.demand[unit] += 1 / TICKS
         effects = self.inner.handle(now, event, seen)
-        if self.holder.short and any(isinstance(effect, i.RollBack) for effect in effects):
+        if self.holder.short and any(isinstance(effect, interface.RollBack) for effect in effects):
             short = {unit[0] for unit in self.holder.short}
-            self.refused.update(dict.fromkeys(short, sum(isinstance(e, i.RollBack) for e in effects)))
-        if self.proxy.line or self.holder.short and isinstance(event, i.HopEnded):
+            self.refused.update(dict.fromkeys(short, sum(isinstance(e, interface.RollBack) for e in effects)))
+        if self.proxy.queue or self.holder.short and isinstance(event, interface.AttemptEnded):
             self.ask(now)
         return effects
 
@@ -110,8 +112,8 @@
             self.demand[unit] *= max(0.0, 1 - passed / TICKS)
         self.give(now)
         self.ask(now)
-        if self.proxy.line:  # guards against entries of those that are gone, where no hop ends
-            self.wake(i.Allowed((), (), self.proxy.allowed.later))
+        if self.proxy.queue:  # guards against entries of those that are gone, where no hop ends
+            self.wake(interface.LimitsUpdated((), (), self.proxy.allowance.retry_after))
 
     def come(self, now: int) -> None:
         """It is the member from now on; a process before it was until now."""
@@ -157,17 +159,19 @@
     def in_use(self, now: int) -> dict[Unit, int]:
         """Lent places with a hop out, by unit."""
         # guards against giving up places with a hop out at hosts that have left the list meanwhile
-        servers = {server.id: server for server, _, _ in self.proxy.flying.values()}
+        servers = {server.id: server for server, _, _ in self.proxy.attempts.values()}
         return {
-            (self.hosts, mark_of(server)): len(server.out) - own
+            (self.hosts, mark_of(server)): len(server.attempts) - own
             for server in servers.values()
-            if len(server.out) > (own := self.mine(now, server.id))
+            if len(server.attempts) > (own := self.mine(now, server.id))
         }
 
     def wishes(self, now: int, used: dict[Unit, int]) -> tuple[dict[Unit, int], dict[Unit, int]]:
         """Places, and tokens more, that would be of use."""
         proxy, places, tokens = self.proxy, {}, {}
-        waiting = [tx for _, _, n in proxy.line[:LOOKS] if (tx := proxy.txs.get(n)) and tx.state == "waiting"]
+        waiting = [
+            tx for _, _, n in proxy.queue[:LOOKS] if (tx := proxy.txs.get(n)) and tx.state == "waiting"
+        ]
         if self.hosts is not None:
             for unit, n in used.items():
                 if n >= self.peaks.get(unit, (0, 0))[0]:
@@ -194,7 +198,7 @@
             for unit in free[: max(0, len(free) - max(0, UNITS - len(used)))]:
                 del places[unit]
         for unit, key in self.keys.items():
-            wait = sum(self.proxy.allowed.key(tx.grant) == key for tx in waiting)
+            wait = sum(self.proxy.allowance.resolve_key(tx.limit_key) == key for tx in waiting)
             ahead = max(AHEAD, min(AHEAD_MOST, 2 * self.holder.slow))
             more = ceil(ahead * self.demand[unit]) + wait - self.holder.in_hand(now, unit)[0]
             if more > 0:
@@ -204,12 +208,12 @@
     def candidates(self, tx) -> list[int]:
         """The first two hosts for its key that only a place is wanting of."""
         found, proxy = [], self.proxy
-        for server in proxy.ranking(tx.key):
+        for server in proxy.ranked_hosts(tx.key):
             if (
                 server.id in self.marks
                 and server.id not in tx.tried
-                and proxy.open_to(tx, server.line)
-                and (not proxy.away(server, "ban", "rest") and proxy.now >= server.shut)
+                and proxy.is_eligible(tx, server.entry)
+                and (not proxy.excluded(server, "ban", "rest") and proxy.now >= server.verdict_until)
             ):
                 found.append(server.id)
                 if len(found) == 2:
@@ -258,7 +262,7 @@
                         **row,
                         "own": sum(self.own.values()),
                         "lent": sum(lent.values()),
-                        "in_use": len(self.proxy.flying),
+                        "in_use": len(self.proxy.attempts),
                         "hosts": len(self.own),
                     }
                 )
@@ -296,10 +300,10 @@
         more = 0 if far or self.left else rate * (now - self.filled[unit])
         self.floors[unit] = min(depth, self.floors[unit] + more)
         self.filled[unit] = now
-        used = self.proxy.allowed.used.get(key, 0) - self.seen[unit]
+        used = self.proxy.allowance.used.get(key, 0) - self.seen[unit]
         if used > 0:
             self.seen[unit] += used
-            if key[0] == i.FURTHER:
+            if key[0] == interface.FURTHER_ATTEMPT:
                 self.demand[unit] += used / TICKS
             floor = min(used, int(self.floors[unit]))
             self.floors[unit] -= floor
@@ -311,9 +315,11 @@
         rows, same, short = [], (), False
         if not self.begun:
             self.begun = True
-            rows += [((i.AT_HOST, None), 0, 0, FOREVER)] if self.hosts is not None else []
+            rows += [((interface.PER_HOST, None), 0, 0, FOREVER)] if self.hosts is not None else []
             same = tuple(
-                ((i.FIRST, profile), (i.FIRST, n)) for n, limit in self.firsts for profile in limit.profiles
+                ((interface.FIRST_ATTEMPT, profile), (interface.FIRST_ATTEMPT, n))
+                for n, limit in self.firsts
+                for profile in limit.profiles
             )
         if self.hosts is not None:
             lent, until = self.holder.parts, self.holder.until
@@ -321,7 +327,7 @@
             for host in {**now_lent, **self.told_hosts}:
                 row = (self.mine(now, host), now_lent.get(host, 0), until if host in now_lent else 0)
                 if self.told_hosts.get(host) != row:
-                    rows.append(((i.AT_HOST, host), *row))
+                    rows.append(((interface.PER_HOST, host), *row))
                 if any(row[:2]) or host in self.own:
                     self.told_hosts[host] = row
                 else:
@@ -336,10 +342,10 @@
                 self.told[key], self.seen[unit] = row, 0
                 rows.append((key, *row))
         later = int(SPREAD * (1 + 2 * self.chance.random()) / 3) if short else 0
-        if rows or same or bool(later) != bool(self.proxy.allowed.later):
+        if rows or same or bool(later) != bool(self.proxy.allowance.retry_after):
             # at once, not through a queue: what is given up must not be used once the keeper is told
-            self.proxy.allowed.tell(i.Allowed(tuple(rows), same, later))
-            self.wake(i.Allowed((), (), later))
+            self.proxy.allowance.update(interface.LimitsUpdated(tuple(rows), same, later))
+            self.wake(interface.LimitsUpdated((), (), later))
 
     # ---- messages
 
@@ -421,7 +427,7 @@
 
 def mark_of(server) -> int:
     """Of a host, the same at every proxy; 0 is for tokens."""
-    return server.line.hash & 0xFFFFFFFF or 1
+    return server.entry.hash & 0xFFFFFFFF or 1
 
 
 def whole(row, length: int) -> bool:
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -19,7 +19,7 @@
 
 import xxhash
 
-from ..policy import interface as i
+from ..policy import interface
 from .evidence import WINDOW, Seen, Word, plain
 from .evidence import read as read_word
 from .facts import Table
@@ -139,9 +139,9 @@
     return {name: rank for rank, name in enumerate(order)}
 
 
-def subject(line: i.Host) -> str:
+def subject(line: interface.HostEntry) -> str:
     """A host's process, by the number of its id and its start: a word on the life before is none on this."""
-    return f"{line.hash:x}.{line.started or 0}"
+    return f"{line.hash:x}.{line.started_at or 0}"
 
 
 class Verdicts:
@@ -168,21 +168,21 @@
     # ---- between the decisions and whoever drives them
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
-        if isinstance(event, i.HopEnded):
+        if isinstance(event, interface.AttemptEnded):
             self.seen.ended(now, event)
             if self.trial is not None and self.trial[:2] == (event.tx, event.host):
                 self.tried(now, event.outcome)
         effects = self.proxy.handle(now, event, seen)
-        if self.trying is not None and self.proxy.trying is None:
+        if self.trying is not None and self.proxy.trial_host is None:
             host, round_ = self.trying
             self.trying = None
             for effect in effects:
-                if isinstance(effect, i.SendHop) and effect.host == host:
+                if isinstance(effect, interface.SendAttempt) and effect.host == host:
                     self.begins(now, effect.tx, host, round_)
         return effects
 
     def begins(self, now: int, tx: int, host: int, round_: int) -> None:
-        name = subject(self.proxy.servers[host].line)
+        name = subject(self.proxy.hosts[host].entry)
         state = self.states.get(name)
         if state is None:
             return
@@ -197,10 +197,10 @@
 
     def tried(self, now: int, outcome: str) -> None:
         before = self.trial[4]
-        if outcome in (i.COMMITTED, i.DECLINED):
+        if outcome in (interface.COMMITTED, interface.DECLINED):
             self.tell_trial(now, GOOD, before + 1)
         else:
-            self.tell_trial(now, VOID if outcome in (i.CANCELLED, i.UNSENT) else BAD, 0)
+            self.tell_trial(now, VOID if outcome in (interface.CANCELLED, interface.UNSENT) else BAD, 0)
         self.trial = None
 
     def tell_trial(self, now: int, phase: int, run: int) -> None:
@@ -215,8 +215,8 @@
         """Words by host, each with its age, without those of proxies whose own link is bad."""
         if self.listed is not self.proxy.ready:
             self.listed = self.proxy.ready
-            self.numbers = {subject(server.line): server.id for server in self.listed}
-            self.seen.forget(self.proxy.servers)
+            self.numbers = {subject(server.entry): server.id for server in self.listed}
+            self.seen.forget(self.proxy.hosts)
         words = {}
         for name in self.table.subjects(HOST):
             if name in self.numbers:
@@ -236,7 +236,7 @@
 
     # ---- several times a second
 
-    def look(self, now: int, seen: int) -> i.Judged | None:
+    def look(self, now: int, seen: int) -> interface.HostVerdicts | None:
         """What the decisions are to be told, if it is another thing than before or its time runs out."""
         blamed = self.seen.blamed(seen, self.proxy)
         if not blamed and not self.states and not self.table.held:
@@ -260,8 +260,8 @@
     def tell(self, now: int, seen: int, blamed: set[int]) -> None:
         """This proxy's words: on hosts that it blames, or has blamed and may clear; on those that several
         blame, how they were to it; on those that are out, only that one was heard since."""
-        servers = self.proxy.servers
-        names = {subject(servers[host].line): host for host in blamed if host in servers}
+        servers = self.proxy.hosts
+        names = {subject(servers[host].entry): host for host in blamed if host in servers}
         asked = {name for name, words in self.words.items() if sum(w.blames for w in words) >= QUORUM}
         asked |= {name for name, word in self.told.items() if word.blames}
         out = {name for name, state in self.states.items() if state.state == OUT}
@@ -367,7 +367,7 @@
     def too_many(self) -> bool:
         """Out and fresh ones together: what some are kept from must not push over those that bear little."""
         out = sum(state.state == OUT for name, state in self.states.items() if name in self.numbers)
-        fresh = sum(server.fresh_from is not None for server in self.listed)
+        fresh = sum(server.cold_since is not None for server in self.listed)
         return out + fresh >= int(MOST_OUT * len(self.listed))
 
     # ---- trials
@@ -400,7 +400,7 @@
 
     # ---- what the decisions are told
 
-    def event(self, now: int, drawn: tuple | None) -> i.Judged | None:
+    def event(self, now: int, drawn: tuple | None) -> interface.HostVerdicts | None:
         hosts = []
         for name, state in self.states.items():
             host = self.numbers.get(name)
@@ -420,7 +420,7 @@
         if not hosts and not opened and drawn is None:
             return None
         hosts += [(host, 0, 0) for host in opened]
-        return i.Judged(tuple(hosts), drawn[0] if drawn else None)
+        return interface.HostVerdicts(tuple(hosts), drawn[0] if drawn else None)
 
     def view(self, now: int) -> list[dict]:
         """For operators: why a host is out, who says so, and how old that is against its life; ages in ms."""
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -14,7 +14,7 @@
 
 from .. import terms
 from ..fleet.counting import Counting
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol.catalogue import Line
 from ..recovery.following import Asking, Following
@@ -45,7 +45,7 @@
         self.chance = [Random(f"host {n} of {seed}") for n in range(size)]
         self.ways, self.lists = Random(f"network of {seed}"), Random(f"discovery of {seed}")
         self.up, self.states, self.started = [True] * size, ["up"] * size, [0.0] * size
-        self.marks = [terms.number(f"host-{n}") for n in range(size)]
+        self.marks = [terms.stable_number(f"host-{n}") for n in range(size)]
         self.unreached = Counter()  # (proxy, host) -> hops to it while it had vanished
         self.hops: dict[tuple, list] = {}  # (proxy, transaction) -> hops sent, out; emptied as they end
         self.open: dict[tuple, Asked] = {}  # (proxy, transaction) -> what was asked; emptied by its answer
@@ -74,18 +74,18 @@
     def start(self, n: int, first: bool) -> None:
         """A new process of this proxy, that knows the list as discovery has it."""
         self.lives[n] += 1
-        agreed = terms.agreement(settings(self.told, n, self.homes[n]))
+        agreed = terms.policy_settings(settings(self.told, n, self.homes[n]))
         again = "" if first else f", life {self.lives[n]}"
         proxy = self.proxies[n] = Proxy(
-            agreed, terms.number(f"proxy {n} of {self.seed}{again}"), self.ticks_of(n)
+            agreed, terms.stable_number(f"proxy {n} of {self.seed}{again}"), self.ticks_of(n)
         )
         mind = Counting(proxy)
         if self.talking is not None:
             mind = self.talking.start(n, proxy, agreed.zone, first)
-        self.minds[n] = Asking(Following(agreed, proxy.chance), mind)
+        self.minds[n] = Asking(Following(agreed, proxy.rng), mind)
         self.carry_out(n, self.minds[n].begin())
         listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
-        self.tell(n, i.HostsListed(tuple(map(self.line, listed)), True, False))
+        self.tell(n, interface.HostListReceived(tuple(map(self.line, listed)), True, False))
 
     def wall(self, n: int) -> float:
         """What this proxy's clock shows, in seconds."""
@@ -151,7 +151,9 @@
         self.open[proxy, tx], self.given[proxy, tx] = asked, (profile, key, work, due, first or name, tries)
         self.tell(
             proxy,
-            i.TxArrived(tx, self.numbers[profile.name], terms.number(key), int(profile.hard_limit * TICKS)),
+            interface.TxArrived(
+                tx, self.numbers[profile.name], terms.stable_number(key), int(profile.hard_limit * TICKS)
+            ),
         )
 
     def answered(self, proxy: int, tx: int, status: int, come_back: float = 0.0) -> None:
@@ -189,12 +191,12 @@
             effect.delay / TICKS / self.rate(proxy),
             self.tell,
             proxy,
-            i.TimerDue(effect.mark),
+            interface.TimerDue(effect.timer_id),
             self.lives[proxy],
         )
 
     def roll_back(self, proxy: int, effect) -> None:
-        self.answered(proxy, effect.tx, 503, effect.come_back / TICKS)
+        self.answered(proxy, effect.tx, 503, effect.retry_after / TICKS)
 
     def abandon(self, proxy: int, effect) -> None:
         self.answered(proxy, effect.tx, 502)
@@ -202,18 +204,23 @@
     def watch_list(self, proxy: int, effect) -> None:
         self.wire.append(Called(self.now, proxy))
         if self.lists.random() < self.told.discovery.fails:
-            return self.later(self.told.discovery.notice, self.tell, proxy, i.ListFailed())
+            return self.later(self.told.discovery.notice, self.tell, proxy, interface.HostListFailed())
         self.later(self.told.discovery.notice, self.list_to, proxy, None)
 
     def tell_news(self, proxy: int, effect) -> None:
         peers = range(len(self.proxies)) if effect.peer is None else [effect.peer]
         for peer in peers:
             if peer != proxy:
-                self.later(self.way("", ""), self.tell, peer, i.NewsCame(proxy, effect.host, effect.what))
+                self.later(
+                    self.way("", ""),
+                    self.tell,
+                    peer,
+                    interface.PeerReportReceived(proxy, effect.host, effect.report),
+                )
 
     def cancel_hop(self, proxy: int, effect) -> None:
         """The machine goes on with it; its answer finds nobody."""
-        self.end(proxy, effect.tx, effect.hop, i.CANCELLED)
+        self.end(proxy, effect.tx, effect.attempt, interface.CANCELLED)
 
     def send_hop(self, proxy: int, effect) -> None:
         tx, host = effect.tx, effect.host
@@ -228,7 +235,9 @@
         if not lost and more is not None:
             way += more
             self.later(way, self.got, proxy, tx, hop, host, asked.tx, given[1], given[2], way, self.now)
-        self.later(effect.time_limit / TICKS / self.rate(proxy), self.end, proxy, tx, hop, i.TIMED_OUT)
+        self.later(
+            effect.time_limit / TICKS / self.rate(proxy), self.end, proxy, tx, hop, interface.TIMED_OUT
+        )
 
     def way(self, here: str, there: str) -> float:
         network, since = self.told.network, self.now - BORN
@@ -243,24 +252,24 @@
         if (known := self.out.pop((proxy, tx, hop), None)) is None:
             return
         host, sent_at = known
-        done = outcome == i.COMMITTED
+        done = outcome == interface.COMMITTED
         closed = done and (proxy, tx) in self.open
         if closed:
             self.answered(proxy, tx, 200)
         self.hops[proxy, tx][1] -= 1
         self.forget(proxy, tx)
         elapsed = max(1, int((self.now - sent_at) * self.rate(proxy) * TICKS))
-        self.tell(proxy, i.HopEnded(tx, hop, host, outcome, elapsed, closed))
+        self.tell(proxy, interface.AttemptEnded(tx, hop, host, outcome, elapsed, closed))
 
     CARRIED = {
-        i.SetTimer: set_timer,
-        i.RollBack: roll_back,
-        i.Abandon: abandon,
-        i.WatchList: watch_list,
-        i.TellNews: tell_news,
-        i.CancelHop: cancel_hop,
-        i.SendHop: send_hop,
-        i.MetFault: lambda self, proxy, effect: None,
+        interface.SetTimer: set_timer,
+        interface.RollBack: roll_back,
+        interface.Abandon: abandon,
+        interface.RequestHostList: watch_list,
+        interface.SendPeerReport: tell_news,
+        interface.CancelAttempt: cancel_hop,
+        interface.SendAttempt: send_hop,
+        interface.ReportHostFault: lambda self, proxy, effect: None,
     }
 
     # ---- machines
@@ -280,9 +289,9 @@
         machine, now = self.machines[host], self.now
         if machine.gone:
             self.unreached[proxy, host] += 1
-            return self.later(CONNECTS, self.end, proxy, tx, hop, i.UNREACHABLE)
+            return self.later(CONNECTS, self.end, proxy, tx, hop, interface.UNREACHABLE)
         if not self.up[host]:
-            return self.later(way, self.end, proxy, tx, hop, i.UNREACHABLE)
+            return self.later(way, self.end, proxy, tx, hop, interface.UNREACHABLE)
         cost = machine.cost(now, key, work)
         cold, capacity = machine.started if machine.warmth(now) < 1.0 else None, machine.capacity(now)
         full = machine.held >= machine.slots
@@ -291,7 +300,7 @@
         if fails and self.limited:
             self.note(Done(now, host, name))
         if full or fails:
-            return self.later(way, self.end, proxy, tx, hop, i.REFUSED if full else i.ERROR)
+            return self.later(way, self.end, proxy, tx, hop, interface.REFUSED if full else interface.ERROR)
         ends = machine.take(now, cost)
         self.later(ends - now, self.done, proxy, tx, hop, host, machine.life, way)
 
@@ -304,7 +313,7 @@
         lost = any(self.chance[host].random() < share for share in machine.losing) or self.lost(here, there)
         more = self.links.stream(f"h{host}", f"p{proxy}")
         if life == machine.life and not machine.silent and not machine.gone and not lost and more is not None:
-            self.later(way + more, self.end, proxy, tx, hop, i.COMMITTED)
+            self.later(way + more, self.end, proxy, tx, hop, interface.COMMITTED)
 
     # ---- what faults do to proxies
 
@@ -351,7 +360,7 @@
             self.note(Done(self.now, host, ""))
         for (proxy, tx, hop), (where, _) in list(self.out.items()):
             if where == host:
-                self.later(self.way("", ""), self.end, proxy, tx, hop, i.RESET)
+                self.later(self.way("", ""), self.end, proxy, tx, hop, interface.RESET)
         self.list_as(host, "removed")
 
     def come_back(self, host: int) -> None:
@@ -374,9 +383,9 @@
             return
         self.wire.extend(Told(self.now, n, self.states[n], proxy) for n in hosts)
         listed = tuple(self.line(n) for n in hosts if host is not None or self.states[n] != "removed")
-        self.tell(proxy, i.HostsListed(listed, host is None, True))
+        self.tell(proxy, interface.HostListReceived(listed, host is None, True))
 
-    def line(self, n: int) -> i.Host:
+    def line(self, n: int) -> interface.HostEntry:
         machine, state = self.machines[n], self.states[n]
         line = Line(
             f"host-{n}",
@@ -390,7 +399,7 @@
             "",
             state == "draining",
         )
-        return terms.host(
+        return terms.host_entry(
             n,
             self.marks[n],
             line.zone,
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -20,7 +20,7 @@
 
 from ..fleet.bounds import HOST, NEVER, RATE, Limit
 from ..fleet.limits import Limits
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.measure import Allowance
 
 TICK = 500  # ticks between two looks of a member
@@ -41,22 +41,24 @@
 
     def __init__(self, hosts: int) -> None:
         lines = [SimpleNamespace(hash=1000 + n) for n in range(hosts)]
-        self.ready = [SimpleNamespace(id=n, line=line, out={}, shut=0) for n, line in enumerate(lines)]
-        self.servers = {server.id: server for server in self.ready}
-        self.line, self.txs, self.flying, self.now = [], {}, {}, 0
-        self.allowed = Allowance()
+        self.ready = [
+            SimpleNamespace(id=n, entry=line, attempts={}, verdict_until=0) for n, line in enumerate(lines)
+        ]
+        self.hosts = {server.id: server for server in self.ready}
+        self.queue, self.txs, self.attempts, self.now = [], {}, {}, 0
+        self.allowance = Allowance()
 
     def handle(self, now: int, event, seen=None) -> list:
         self.now = now
         return []
 
-    def ranking(self, key):
+    def ranked_hosts(self, key):
         return self.ready
 
-    def open_to(self, tx, line) -> bool:
+    def is_eligible(self, tx, line) -> bool:
         return True
 
-    def away(self, server, *reasons) -> bool:
+    def excluded(self, server, *reasons) -> bool:
         return False
 
 
@@ -87,12 +89,12 @@
     def tick(self) -> None:
         run, proxy, now = self.run, self.proxy, self.run.clock(self.n)
         proxy.now = now
-        while len(proxy.line) < run.demand[self.n]:
+        while len(proxy.queue) < run.demand[self.n]:
             number = next(self.numbers)
             proxy.txs[number] = SimpleNamespace(
-                id=number, key=number, tried=[], state="waiting", grant=(i.FIRST, 0)
+                id=number, key=number, tried=[], state="waiting", limit_key=(interface.FIRST_ATTEMPT, 0)
             )
-            proxy.line.append((False, now, number))
+            proxy.queue.append((False, now, number))
         self.limits.tick(now)
         self.go(now)
         self.limits.handle(now, None)
@@ -103,25 +105,27 @@
         proxy, run = self.proxy, self.run
         for server in proxy.ready:
             while (
-                proxy.line
-                and proxy.allowed.left((i.AT_HOST, server.id), now) > len(server.out)
-                and (proxy.allowed.left((i.FIRST, 0), now) >= 1)
+                proxy.queue
+                and proxy.allowance.remaining((interface.PER_HOST, server.id), now) > len(server.attempts)
+                and (proxy.allowance.remaining((interface.FIRST_ATTEMPT, 0), now) >= 1)
             ):
-                number = proxy.line.pop(0)[2]
+                number = proxy.queue.pop(0)[2]
                 del proxy.txs[number]
-                proxy.allowed.use((i.FIRST, 0))
+                proxy.allowance.consume((interface.FIRST_ATTEMPT, 0))
                 lasts = int(HARD_LIMIT / run.rates[self.n] * run.chance.uniform(0.05, 0.97))
-                server.out[number] = proxy.flying[number] = server, now, now
+                server.attempts[number] = proxy.attempts[number] = server, now, now
                 run.began(server.id)
                 run.later(lasts, self.ended, server, number)
 
     def ended(self, server, number: int) -> None:
         """The host has done its work, whether or not the proxy still lives."""
         self.run.held[server.id] -= 1
-        del server.out[number], self.proxy.flying[number]
+        del server.attempts[number], self.proxy.attempts[number]
         if self.run.members[self.n] is self and self.n not in self.run.stopped:
             now = self.run.clock(self.n)
-            self.limits.handle(now, i.HopEnded(number, 0, server.id, i.COMMITTED, 1, True))
+            self.limits.handle(
+                now, interface.AttemptEnded(number, 0, server.id, interface.COMMITTED, 1, True)
+            )
             self.go(now)
 
 
--- a/basalthook/policy/decide.py
+++ b/basalthook/policy/decide.py
@@ -1,200 +1,218 @@
-"""The life of a transaction: every event of one client proxy comes in here, and all effects go out."""
+"""The state machine of transactions: takes every event of one client proxy and returns its effects.
+
+Times are in ticks of 0.1 ms.
+"""
 
 from bisect import bisect, insort
 
-from . import interface as i
-from .hosts import TRIAL, Hosts
-from .records import Server, Tx
-
-PROMPT, LOOK_AHEAD = 8, 16  # who would wait longer than this part of the time left goes; tried at each end
-EARLY, STEEP, MOST = 0.5, 3.0, 0.8  # from this part of the time left on; by its excess; at most
-
-# state, input -> next state, effect. An effect may return the next input. What is not here changes nothing.
-LIFE = {
-    ("waiting", "room"): ("waiting", "place"),
-    ("waiting", "sent"): ("out", None),
-    ("waiting", "held"): ("waiting", "line_up"),
-    ("waiting", "late"): ("waiting", "last_chance"),
-    ("waiting", "hopeless"): ("done", "answer"),
-    ("waiting", "gone"): ("done", None),
-    ("out", "fell"): ("waiting", "place"),
-    ("out", "at fault"): ("done", "answer"),
-    ("out", "won"): ("done", "settle"),
-    ("out", "gone"): ("done", "settle"),
-    ("out", "began"): ("streaming", None),
-    ("streaming", "won"): ("done", "settle"),
-    ("streaming", "gone"): ("done", "settle"),
+from . import interface
+from .hosts import TRIAL_PART, Hosts
+from .records import HostState, Transaction
+
+# A transaction is queued if its turn comes within 1 / QUEUE_DIVISOR of the time left. Entries of the queue
+# that are tried whenever an attempt ends.
+QUEUE_DIVISOR, QUEUE_LOOK_AHEAD = 8, 16
+# Live weights: the expected latency, as a share of the time left, from which transactions are rejected on
+# arrival; how fast the rejected share grows beyond that; its maximum.
+SHED_FROM, SHED_SLOPE, MAX_SHED_SHARE = 0.5, 3.0, 0.8
+
+# (state, input) -> (next state, method). A method may return the next input. Other inputs change nothing.
+TRANSITIONS = {
+    ("waiting", "capacity"): ("waiting", "try_to_send"),
+    ("waiting", "sent"): ("in flight", None),
+    ("waiting", "queue"): ("waiting", "enqueue"),
+    ("waiting", "timer"): ("waiting", "on_queue_deadline"),
+    ("waiting", "reject"): ("done", "reject"),
+    ("waiting", "client gone"): ("done", None),
+    ("in flight", "attempt failed"): ("waiting", "try_to_send"),
+    ("in flight", "at fault"): ("done", "reject"),
+    ("in flight", "answered"): ("done", "finish"),
+    ("in flight", "client gone"): ("done", "finish"),
+    ("in flight", "stream started"): ("streaming", None),
+    ("streaming", "answered"): ("done", "finish"),
+    ("streaming", "client gone"): ("done", "finish"),
 }
 
 
 class Proxy(Hosts):
-    def handle(self, now, event, seen=None):
-        """`seen`: up to then all that came in is told; a silence since may be that of the caller."""
-        self.now, self.seen, self.effects = now, now if seen is None else seen, []
+    def handle(self, now, event, seen_to=None):
+        """Process an event at `now` and return its effects, in the order in which to carry them out.
+
+        `seen_to`: all input up to then has been handled; no answer since may be the caller's own delay.
+        """
+        self.now, self.seen_to, self.effects = now, now if seen_to is None else seen_to, []
         self.EVENTS[type(event)](self, event)
         return self.effects
 
-    def step(self, tx, given):
-        while given is not None:
-            tx.state, effect = LIFE.get((tx.state, given), (tx.state, None))
-            given = getattr(self, effect)(tx) if effect else None
-        if tx.state == "done" and not tx.out:
+    def transition(self, tx, input_):
+        while input_ is not None:
+            tx.state, effect = TRANSITIONS.get((tx.state, input_), (tx.state, None))
+            input_ = getattr(self, effect)(tx) if effect else None
+        if tx.state == "done" and not tx.attempts:
             self.txs.pop(tx.id, None)
 
     def on_arrived(self, event):
-        self.txs[event.tx] = Tx(event, self.now, self.terms.profiles[event.profile])
-        self.tell(event.tx, "room")
+        self.txs[event.tx] = Transaction(event, self.now, self.settings.profiles[event.profile])
+        self.dispatch(event.tx, "capacity")
 
     def on_timer(self, event):
-        if event.mark > 1:
-            self.tell(event.mark - 2, "late")
-        elif event.mark:
-            self.fill()
+        if event.timer_id > 1:
+            self.dispatch(event.timer_id - 2, "timer")
+        elif event.timer_id:
+            self.serve_queue()
 
-    def tell(self, tx, given):
+    def dispatch(self, tx, input_):
         if tx in self.txs:
-            self.step(self.txs[tx], given)
+            self.transition(self.txs[tx], input_)
 
-    def on_ended(self, event):
+    def on_attempt_ended(self, event):
         tx = self.txs.get(event.tx)
-        if tx is None or event.hop not in tx.out:
+        if tx is None or event.attempt not in tx.attempts:
             return
-        server, sent_at = tx.out.pop(event.hop)
-        del server.out[tx.id, event.hop], self.flying[tx.id, event.hop]
-        at_fault = self.judge(server, sent_at, tx, event)
+        host, sent_at = tx.attempts.pop(event.attempt)
+        del host.attempts[tx.id, event.attempt], self.attempts[tx.id, event.attempt]
+        at_fault = self.record_outcome(host, sent_at, tx, event)
         if at_fault:
-            tx.refusal = "it fails at several endpoints"
-        self.step(tx, "won" if event.closed else "at fault" if at_fault else "fell")
-        self.fill()
-
-    def on_listed(self, event):
-        named = {line.host for line in event.hosts}
-        for server in self.servers.values():
-            if server.doubted or event.complete and server.id not in named:
-                self.left_out(server)
-        for line in event.hosts:
-            server = self.servers.get(line.host) or self.servers.setdefault(
-                line.host, Server(line, self.terms.fall_time)
+            tx.reason = "it fails at several endpoints"
+        self.transition(tx, "answered" if event.final else "at fault" if at_fault else "attempt failed")
+        self.serve_queue()
+
+    def on_host_list(self, event):
+        listed = {entry.host_id for entry in event.hosts}
+        for host in self.hosts.values():
+            if host.unlisted or event.complete and host.id not in listed:
+                self.mark_unlisted(host)
+        for entry in event.hosts:
+            host = self.hosts.get(entry.host_id) or self.hosts.setdefault(
+                entry.host_id, HostState(entry, self.settings.overload_time)
             )
-            if line.ready or line.draining:  # not by a line that it is gone: its start may be unsaid
-                self.listed(server, line)
+            if entry.ready or entry.draining:  # the entry of a host that is gone may lack its start
+                self.update_entry(host, entry)
             else:
-                self.left_out(server)
-        self.servers = {n: s for n, s in self.servers.items() if s.line.ready or s.out}
-        if self.terms.live_weights:  # a weight is size / (1 + held a core)
-            held = sum(s.size * (s.size / s.line.weight - 1) for s in self.servers.values())
-            self.cores = held / (sum(s.size for s in self.servers.values()) or 1.0)
-        self.reset_rankings()
-        self.fill()
-
-    def place(self, tx):
-        """Send; or hold in line if a turn comes soon; else give up, and tell the client when to come back."""
-        server = self.chosen or self.tried(tx) or (None if self.full() else self.pick(tx))
-        self.chosen = None
-        if self.drags(tx) and any(t.out and t.groups == tx.groups for t in self.txs.values()):
-            tx.refusal = "its group is slow at every endpoint"
-            return "hopeless"  # one at a time looks whether that is over: more would fill the hosts
-        if self.terms.live_weights:  # guards against hosts that all answer too late
-            part = max(self.cores, self.strain) * self.latency[tx.kind].quiet / max(1, tx.goal - self.now)
-            if self.chance.random() < min(MOST, STEEP * (part - EARLY)):
-                tx.refusal = "all endpoints answer late"
-                return "hopeless"
-        if server is not None and self.send(tx, server):
+                self.mark_unlisted(host)
+        self.hosts = {n: h for n, h in self.hosts.items() if h.entry.ready or h.attempts}
+        if self.settings.live_weights:  # a weight is capacity / (1 + transactions held a core)
+            held = sum(h.capacity * (h.capacity / h.entry.weight - 1) for h in self.hosts.values())
+            self.load = held / (sum(h.capacity for h in self.hosts.values()) or 1.0)
+        self.rebuild_rankings()
+        self.serve_queue()
+
+    def try_to_send(self, tx):
+        """Send it; or queue it if its turn comes soon; else reject it, with a time to retry after."""
+        host = self.preselected or self.trial_for(tx) or (None if self.at_limit() else self.pick_host(tx))
+        self.preselected = None
+        if self.is_slow(tx) and any(t.attempts and t.groups == tx.groups for t in self.txs.values()):
+            tx.reason = "its group is slow at every endpoint"
+            return "reject"  # one at a time probes whether that is over: more would fill the hosts
+        if self.settings.live_weights:  # sheds load before all hosts answer too late
+            share = (
+                max(self.load, self.slowdown)
+                * self.latency[tx.profile_id].base
+                / max(1, tx.goal_at - self.now)
+            )
+            if self.rng.random() < min(MAX_SHED_SHARE, SHED_SLOPE * (share - SHED_FROM)):
+                tx.reason = "all endpoints answer late"
+                return "reject"
+        if host is not None and self.send(tx, host):
             return "sent"
-        tx.give_up = tx.goal - int(self.latency[tx.kind].usual)  # kept: the estimate behind it moves
-        ahead = bisect(self.line, (bool(tx.tried), tx.give_up, tx.id))
-        tx.refusal = self.obstacle(tx)
-        hope = not tx.refusal
-        took = max(1.0, self.strain) * self.quiet_mix + self.unread  # by Little's law, what is out
-        turn, left = ahead * took / max(1, len(self.flying)), tx.give_up - self.now
-        tx.come_back = int(turn) if turn < left else tx.profile.service_goal  # back when its turn would be
-        if self.allowed.later and self.allowed.left(tx.grant, self.now) < 1:
-            tx.come_back, hope, tx.refusal = self.allowed.later, False, "over the fleet's limit"
-        if hope and PROMPT * turn < left:
-            return "held"
-        tx.refusal = tx.refusal or ("out of time in the queue" if left <= 0 else "queue too long")
-        return "hopeless"
-
-    def obstacle(self, tx):
-        """What keeps it from any further attempt, in a word or two for the log; nothing: it may have one."""
+        # stored, as the latency estimate changes while it waits
+        tx.queue_until = tx.goal_at - int(self.latency[tx.profile_id].expected)
+        ahead = bisect(self.queue, (bool(tx.tried), tx.queue_until, tx.id))
+        tx.reason = self.blocking_reason(tx)
+        may_wait = not tx.reason
+        latency = max(1.0, self.slowdown) * self.base_latency + self.unread_delay
+        turn, left = ahead * latency / max(1, len(self.attempts)), tx.queue_until - self.now  # Little's law
+        tx.retry_after = int(turn) if turn < left else tx.profile.service_goal  # when its turn would come
+        if self.allowance.retry_after and self.allowance.remaining(tx.limit_key, self.now) < 1:
+            tx.retry_after, may_wait, tx.reason = self.allowance.retry_after, False, "over the fleet's limit"
+        if may_wait and QUEUE_DIVISOR * turn < left:
+            return "queue"
+        tx.reason = tx.reason or ("out of time in the queue" if left <= 0 else "queue too long")
+        return "reject"
+
+    def blocking_reason(self, tx):
+        """Why it may have no further attempt, for the log; "" if it may have one."""
         if self.now >= tx.hard_limit:
             return "deadline"
-        if len(tx.tried) >= self.terms.max_hops:
+        if len(tx.tried) >= self.settings.max_attempts:
             return "attempts used up"
-        if not self.goes_on(tx):
+        if not self.may_attempt(tx):
             return "it may have run"
-        if self.servers and not any(self.open_to(tx, server.line) for server in self.ready):
+        if self.hosts and not any(self.is_eligible(tx, host.entry) for host in self.ready):
             return "no endpoint open to it"
         return ""
 
-    def line_up(self, tx):
-        """First hops, then the shortest patience: a short goal is lost behind long ones that could wait."""
-        insort(self.line, (bool(tx.tried), tx.give_up, tx.id))
-        self.effects.append(i.SetTimer(tx.give_up - self.now, tx.id + 2))
+    def enqueue(self, tx):
+        """First attempts, then the earliest deadline: a short goal is missed behind those that can wait."""
+        insort(self.queue, (bool(tx.tried), tx.queue_until, tx.id))
+        self.effects.append(interface.SetTimer(tx.queue_until - self.now, tx.id + 2))
 
-    def last_chance(self, tx):
-        return "room" if self.now >= tx.give_up else None
+    def on_queue_deadline(self, tx):
+        return "capacity" if self.now >= tx.queue_until else None
 
-    def fill(self):
-        for entry in self.line[:LOOK_AHEAD]:
+    def serve_queue(self):
+        for entry in self.queue[:QUEUE_LOOK_AHEAD]:
             tx = self.txs.get(entry[2])
             if tx is None or tx.state != "waiting":
-                self.line.remove(entry)
-            elif not self.full() and (server := self.pick(tx)) is not None:
-                self.line.remove(entry)
-                self.chosen = server
-                self.step(tx, "room")
-
-    def settle(self, tx):
-        if self.terms.cancelling:
-            self.effects += [i.CancelHop(tx.id, hop) for hop in tx.out]
-
-    def answer(self, tx):
-        """The gate that every answer of ours passes: an early rollback only where a retry is harmless."""
+                self.queue.remove(entry)
+            elif not self.at_limit() and (host := self.pick_host(tx)) is not None:
+                self.queue.remove(entry)
+                self.preselected = host
+                self.transition(tx, "capacity")
+
+    def finish(self, tx):
+        if self.settings.can_cancel:
+            self.effects += [interface.CancelAttempt(tx.id, attempt) for attempt in tx.attempts]
+
+    def reject(self, tx):
+        """Answer the client: a rollback, which invites a retry, only where running it again is harmless."""
         harmless = (
-            tx.ran is None
-            or tx.profile.kind == i.IDEMPOTENT
-            or (tx.profile.group == i.EVERYWHERE and self.repeatable(tx))
+            tx.first_run is None
+            or tx.profile.kind == interface.IDEMPOTENT
+            or (tx.profile.group == interface.EVERYWHERE and self.may_repeat(tx))
         )
-        come_back = min(self.terms.come_back_max, int(tx.come_back * (0.75 + self.chance.random() / 2)))
+        # spread over time: clients told the same would all return at once
+        retry_after = min(self.settings.max_retry_after, int(tx.retry_after * (0.75 + self.rng.random() / 2)))
         self.effects.append(
-            i.RollBack(tx.id, come_back, tx.refusal) if harmless else i.Abandon(tx.id, tx.refusal)
+            interface.RollBack(tx.id, retry_after, tx.reason)
+            if harmless
+            else interface.Abandon(tx.id, tx.reason)
         )
 
-    def send(self, tx, server):
-        if not (self.goes_on(tx) and self.admits(tx, server)):  # the rules, at every hop
+    def send(self, tx, host):
+        if not (self.may_attempt(tx) and self.admits(tx, host)):  # the rules, at every attempt
             return False
-        hop, now, usual = len(tx.tried), self.now, self.latency[tx.kind]
-        late_after = int(min(max(usual.mean + 4 * usual.deviation, usual.least), usual.goal / 2))
-        self.allowed.use(tx.grant)
-        tx.tried.append(server.id)
-        tx.out[hop] = (server, now)
-        server.out[tx.id, hop] = self.flying[tx.id, hop] = server, now, late_after
-        server.sent.add(now)
+        attempt, now, usual = len(tx.tried), self.now, self.latency[tx.profile_id]
+        late_after = int(min(max(usual.mean + 4 * usual.deviation, usual.floor), usual.goal / 2))
+        self.allowance.consume(tx.limit_key)
+        tx.tried.append(host.id)
+        tx.attempts[attempt] = (host, now)
+        host.attempts[tx.id, attempt] = self.attempts[tx.id, attempt] = host, now, late_after
+        host.sent.add(now)
         self.sent.add(now)
-        self.quiet_mix += (self.latency[tx.kind].quiet - self.quiet_mix) * 0.05
+        self.base_latency += (self.latency[tx.profile_id].base - self.base_latency) * 0.05
         limit = tx.hard_limit - now
-        if server.id == self.trying:
-            limit, self.trying = (tx.goal - now) // TRIAL, None
-        self.effects.append(i.SendHop(tx.id, server.id, limit))
+        if host.id == self.trial_host:
+            limit, self.trial_host = (tx.goal_at - now) // TRIAL_PART, None
+        self.effects.append(interface.SendAttempt(tx.id, host.id, limit))
         return True
 
-    def on_judged(self, event):
-        """The fleet's verdicts, beside all that is known here: they make more wary, never less."""
-        self.trying = event.trial
-        for host, shut, whole in event.hosts:
-            if host in self.servers:
-                self.servers[host].shut, self.servers[host].whole = shut, whole
-                self.effects.append(i.SetTimer(max(0, shut - self.now), 1))
+    def on_verdicts(self, event):
+        """The fleet's verdicts, in addition to what this proxy knows: they only ever keep more hosts away."""
+        self.trial_host = event.trial
+        for host_id, verdict_until, ramp_until in event.hosts:
+            if host_id in self.hosts:
+                self.hosts[host_id].verdict_until, self.hosts[host_id].ramp_until = verdict_until, ramp_until
+                self.effects.append(interface.SetTimer(max(0, verdict_until - self.now), 1))
 
     EVENTS = {
-        i.HostsListed: on_listed,
-        i.TxArrived: on_arrived,
-        i.HopEnded: on_ended,
-        i.Allowed: lambda self, event: (self.allowed.tell(event), self.fill()),
-        i.Judged: on_judged,
-        i.Shared: lambda self, event: vars(self).update(event._asdict()),
-        i.StreamBegan: lambda self, event: self.tell(event.tx, "began"),
-        i.TimerDue: on_timer,
-        i.TxGone: lambda self, event: self.tell(event.tx, "gone"),
+        interface.HostListReceived: on_host_list,
+        interface.TxArrived: on_arrived,
+        interface.AttemptEnded: on_attempt_ended,
+        interface.LimitsUpdated: lambda self, event: (self.allowance.update(event), self.serve_queue()),
+        interface.HostVerdicts: on_verdicts,
+        interface.ProcessCount: lambda self, event: vars(self).update(event._asdict()),
+        interface.StreamStarted: lambda self, event: self.dispatch(event.tx, "stream started"),
+        interface.TimerDue: on_timer,
+        interface.ClientDisconnected: lambda self, event: self.dispatch(event.tx, "client gone"),
     }
--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -1,321 +1,350 @@
-"""What is known of hosts: which a transaction may go to and which it gets; what outcomes do to them."""
+"""Choice of a host: which a transaction may go to, which it gets, and what outcomes do to the host.
+
+Times are in ticks of 0.1 ms. A slowdown is a latency divided by the latency with little queueing.
+"""
 
 from random import Random
 
-from . import interface as i
-from .measure import Allowance, Drag, Latency, Rendezvous, Spread, Window
+from . import interface
+from .measure import Allowance, Latency, RecentPlaces, Rendezvous, SlidingWindow, SlowGroups
 from .rules import Rules
 
-COOLDOWN, BACKOFF, TIMEOUT_RUN, SPREAD = 100_000, 500, 3, 2  # the design's
-FIRST_BAN, BACKOFF_MOST = 5_000, 25_000  # bans of failed connections double from one, backoffs up to one
-ROOMY, FAIR = 1.5, 1.25  # no more of our hops at a host than make it so slow, or so many times its share
-BEARABLE = 4  # hops of all proxies that a host may always hold: else it idles between two of ours
-BUSY, CROWDED, OTHERS = 1.25, 3.0, 1.5  # so much slower than in quiet; the slowness of others counts up to
-SPARE, UNHURRIED = 0.7, 64  # held a core, by the list, at hosts with room; a goal's part that is quick
-AT_HOME, FROM, SWIFT, SPILL = 2.0, 1.5, 1.5, 3  # a crowd at home, in a fleet; elsewhere; so many a proxy
-REACH = 2  # while busy, a key waits for one of its first so many hosts before it goes elsewhere
-DRAGS, KNOWN, ERRING = 0.5, 3, 0.3  # share of slow answers that is a group's; by so many; of errors, a host's
-SELDOM, LEARN = 0.4, 3  # weight of a host's one answer in a fall time; over all, of answers as far apart
-LEARN_EVERY, COLD_STEPS = 10_000, 16  # how often slow changes are looked at; steps of a fresh slice
-LEFT_OUT, KEPT = 600_000, 2_000  # a host that the list leaves out goes after such silence; bound of tables
-TRIAL = 3  # part of the time left that the fleet's trial of a host may take
-
-# outcome -> what it does to the host, and whether the transaction may have run
-SORTED = {
-    i.COMMITTED: ("sound", True),
-    i.ERROR: ("erred", True),
-    i.TIMED_OUT: ("timed_out", True),
-    i.RESET: ("erred", True),
-    i.CANCELLED: ("weigh", True),
-    i.REFUSED: ("back_off", False),
-    i.UNREACHABLE: ("ban", False),
-    i.UNSENT: (None, False),
-    i.DECLINED: (None, True),
-    i.DROPPED: ("erred", False),
+# Length of a ban; first backoff; time-outs in a row for a ban; hosts at which a key fails by its own fault.
+BAN_TIME, FIRST_BACKOFF, BAN_TIMEOUTS, KEY_HOSTS = 100_000, 500, 3, 2
+CONNECT_BAN, MAX_BACKOFF = 5_000, 25_000  # first ban after a failed connection, then doubled; longest backoff
+QUEUEING, MAX_SHARE = 1.5, 1.25  # limits of our attempts at a host: slowdown by queueing; of its fair share
+HOST_MINIMUM = 4  # attempts of all proxies that a host may always hold: else it idles between two of ours
+BUSY, OVERLOAD, MAX_FLEET_FACTOR = 1.25, 3.0, 1.5  # slowdown: fleet; host; the fleet's part in the latter
+SPARE, FLOOR_DIVISOR = 0.7, 64  # load a core, as listed, of hosts with room; service goal / latency floor
+# Slowdown: crowded home zone; fleet in which a host rests from that on; hosts for spill. Spill hosts a proxy.
+HOME_MAX, FLEET_MIN, SPILL_MAX, SPILL_HOSTS = 2.0, 1.5, 1.5, 3
+BUSY_REACH = 2  # while busy, a key waits for one of its first so many hosts before it goes elsewhere
+# Excess share of slow answers of a slow group; answers to compare a group by; error rate that bans a host.
+SLOW_SHARE, MIN_ANSWERS, MAX_ERROR_RATE = 0.5, 3, 0.3
+HOST_WEIGHT, FLEET_WEIGHT = 0.4, 3  # of an answer: / attempts in overload_time; * time since the last commit
+ESTIMATE_INTERVAL, COLD_STEPS = 10_000, 16  # between updates of slow estimates; re-rankings in a slow start
+UNLISTED_SILENCE, TABLE_SIZE = 600_000, 2_000  # without an answer, then an unlisted host goes; entries
+TRIAL_PART = 3  # the fleet's trial of a host takes at most 1 / TRIAL_PART of the time left
+
+# outcome -> method that applies it to the host (or None), and whether the transaction may have run
+OUTCOME_EFFECTS = {
+    interface.COMMITTED: ("sound", True),
+    interface.ERROR: ("erred", True),
+    interface.TIMED_OUT: ("timed_out", True),
+    interface.RESET: ("erred", True),
+    interface.CANCELLED: ("weigh", True),
+    interface.REFUSED: ("back_off", False),
+    interface.UNREACHABLE: ("ban", False),
+    interface.UNSENT: (None, False),
+    interface.DECLINED: (None, True),
+    interface.DROPPED: ("erred", False),
 }
-SPOKEN, KEYED_FAILURES = {i.COMMITTED, i.ERROR, i.REFUSED, i.DECLINED}, {i.ERROR, i.TIMED_OUT, i.RESET}
+RESPONSES, KEYED_FAILURES = (
+    {interface.COMMITTED, interface.ERROR, interface.REFUSED, interface.DECLINED},
+    {interface.ERROR, interface.TIMED_OUT, interface.RESET},
+)
 
 
 class Hosts(Rules):
-    def __init__(self, agreement, seed, now):
-        self.terms, self.chance, self.now, self.born, self.seen = agreement, Random(seed), now, now, now
-        self.servers, self.txs = {}, {}  # listed, or with hops out; open, or answered with a hop out
-        self.line, self.chosen = [], None  # (tried, give up, tx): emptied by answers, time; the next's host
-        self.last_commit = now
-        self.flying = {}  # hops out: (tx, hop) -> server, sent at, late after; emptied as they end
-        self.sent = Window(agreement.fall_time)  # our hops
-        self.rankings = {}  # key -> first servers; bounded, cleared by the list, a ban or a step
-        self.latency = [Latency(p.service_goal, p.service_goal / UNHURRIED) for p in agreement.profiles]
-        self.failing, self.trying = Spread(COOLDOWN, KEPT), None  # keys, hosts; which one to try
-        self.quiet_mix, self.strain, self.cores = min(k.quiet for k in self.latency), 1.0, 1.0  # held a core
-        self.drag, self.usual_rate, self.unread, self.processes = Drag(COOLDOWN, KEPT, KNOWN), 0.0, 0.0, 1
-        self.learn_next, self.least = now, max(1.0, BEARABLE // agreement.proxies)
-        bound = any(p.zones and agreement.zone in p.zones for p in agreement.profiles)
-        self.rooted, self.extra = agreement.zone if bound else None, 0  # hosts elsewhere of free profiles
-        self.allowed = Allowance()  # by the fleet's limits
-        self.reset_rankings()
-
-    def pick(self, tx):
-        if not self.goes_on(tx):
+    def __init__(self, settings, seed, now):
+        self.settings, self.rng, self.now, self.started, self.seen_to = settings, Random(seed), now, now, now
+        self.hosts, self.txs = {}, {}  # listed, or with attempts; open, or answered with attempts
+        self.queue, self.preselected = [], None  # sorted (retry?, queue_until, tx); host for the next to send
+        self.last_commit_at = now
+        self.attempts = {}  # open ones: (tx, attempt) -> host, sent at, late after; removed as they end
+        self.sent = SlidingWindow(settings.overload_time)  # our attempts
+        self.ranking_cache = {}  # key -> first hosts; bounded, cleared by a list, a ban or a slow start step
+        self.latency = [Latency(p.service_goal, p.service_goal / FLOOR_DIVISOR) for p in settings.profiles]
+        self.key_failures, self.trial_host = RecentPlaces(BAN_TIME, TABLE_SIZE), None  # key -> hosts
+        self.base_latency, self.slowdown, self.load = min(k.base for k in self.latency), 1.0, 1.0
+        self.slow_groups, self.commit_rate, self.unread_delay, self.processes = (
+            SlowGroups(BAN_TIME, TABLE_SIZE, MIN_ANSWERS),
+            0.0,
+            0.0,
+            1,
+        )
+        self.next_estimate_at, self.min_held = now, max(1.0, HOST_MINIMUM // settings.proxies)
+        bound = any(p.zones and settings.zone in p.zones for p in settings.profiles)
+        self.home_zone, self.spill_count = settings.zone if bound else None, 0  # hosts of other zones in use
+        self.allowance = Allowance()  # by the fleet's limits
+        self.rebuild_rankings()
+
+    def pick_host(self, tx):
+        """Of the first two usable hosts in the key's order, the one with fewer of our attempts."""
+        if not self.may_attempt(tx):
             return None
-        best, banned, unbanned, reach, now = [], [], False, len(self.home), self.now
-        if tx.key is not None and self.terms.warm_keys and self.busy() and now < tx.give_up:
-            reach = REACH  # guards against keys strewn over hosts that don't know them and work more
-        for server in self.ranking(tx.key):
-            ban = self.away(server, "ban")
-            if server.id in tx.tried or not self.admits(tx, server):
+        best, banned, unbanned, reach, now = [], [], False, len(self.preferred), self.now
+        if tx.key is not None and self.settings.warm_keys and self.busy() and now < tx.queue_until:
+            reach = BUSY_REACH  # keys spread over hosts that do not hold them cost more work in a crowd
+        for host in self.ranked_hosts(tx.key):
+            ban = self.excluded(host, "ban")
+            if host.id in tx.tried or not self.admits(tx, host):
                 continue
-            unbanned |= server.proven and not ban and self.now >= server.shut
-            if ban or not server.proven or self.now < server.shut:
-                banned.append(server)
-            if not ban and not self.doubtful(server, tx):
+            unbanned |= host.trusted and not ban and self.now >= host.verdict_until
+            if ban or not host.trusted or self.now < host.verdict_until:
+                banned.append(host)
+            if not ban and not self.is_suspect(host, tx):
                 reach -= 1
-                if self.has_room(server):
-                    best.append(server)
+                if self.has_capacity(host):
+                    best.append(host)
             if len(best) == 2 or not reach:
                 break
-        if not best and not unbanned:  # all banned, or none proven since: ready ones count
-            best = [s for s in banned if self.has_room(s)][:2]
-        if len(best) == 2 and len(best[0].out) == len(best[1].out):
-            return best[0] if self.busy() else self.chance.choice(best)
-        return min(best, key=lambda s: len(s.out), default=None)
-
-    def away(self, server, *reasons):
-        return any(server.away.get(reason, 0) > self.now for reason in reasons)
-
-    def doubtful(self, server, tx):
-        if server.away and self.away(server, "rest", tx.kind):
+        if not best and not unbanned:  # all are banned, or unproven since a ban: use those that are ready
+            best = [h for h in banned if self.has_capacity(h)][:2]
+        if len(best) == 2 and len(best[0].attempts) == len(best[1].attempts):
+            return best[0] if self.busy() else self.rng.choice(best)
+        return min(best, key=lambda h: len(h.attempts), default=None)
+
+    def excluded(self, host, *reasons):
+        return any(host.excluded_until.get(reason, 0) > self.now for reason in reasons)
+
+    def is_suspect(self, host, tx):
+        """Whether the host is backed off, held back by a verdict, on probation, or silent."""
+        if host.excluded_until and self.excluded(host, "rest", tx.profile_id):
             return True
-        if self.now < server.whole and self.judged(server):
+        if self.now < host.ramp_until and self.withheld_by_verdict(host):
             return True
-        if server.throttles or not server.proven:  # back from a ban or rest: one hop at a time, and
-            return bool(server.out) or tx.profile.kind == i.NON_IDEMPOTENT  # only what may be repeated
-        if not server.out:
-            return False  # else guards against hosts that went silent or stand still
-        _, sent_at, late_after = next(iter(server.out.values()))  # by its own measure, not by this one's
-        return self.seen - max(server.heard, sent_at) >= late_after
-
-    def judged(self, server):
-        """By the fleet's verdict: none of ours while it is shut, then a part that grows till it is whole."""
-        ramp = max(1, server.whole - server.shut)
-        return self.now < server.shut or self.chance.random() > (self.now - server.shut) / ramp
-
-    def tried(self, tx):
-        """The fleet's trial of a host that it keeps away: of what can still go on elsewhere in time."""
-        server = self.servers.get(self.trying)
-        if server is None or tx.profile.kind != i.IDEMPOTENT or tx.tried or not self.goes_on(tx):
+        if host.throttles or not host.trusted:  # after a ban or backoff: one repeatable attempt at a time
+            return bool(host.attempts) or tx.profile.kind == interface.NON_IDEMPOTENT
+        if not host.attempts:
+            return False
+        # silent: no answer since the oldest attempt became late, by the latency of its own profile
+        _, sent_at, late_after = next(iter(host.attempts.values()))
+        return self.seen_to - max(host.last_answer, sent_at) >= late_after
+
+    def withheld_by_verdict(self, host):
+        """The fleet's verdict: nothing goes there until it ends, then a share that grows linearly to all."""
+        ramp = max(1, host.ramp_until - host.verdict_until)
+        return self.now < host.verdict_until or self.rng.random() > (self.now - host.verdict_until) / ramp
+
+    def trial_for(self, tx):
+        """The host that the fleet wants tried, if `tx` could still go on elsewhere in time after that."""
+        host = self.hosts.get(self.trial_host)
+        if host is None or tx.profile.kind != interface.IDEMPOTENT or tx.tried or not self.may_attempt(tx):
             return None
-        free = not server.out and not self.away(server, "ban", "rest") and self.admits(tx, server)
-        return server if free and TRIAL * (tx.goal - self.now) > 2 * tx.profile.service_goal else None
-
-    def drags(self, tx):
-        """Its profile, or its party, is slow at all hosts, and others are not: no fault of the hosts."""
-        return self.drag.of(tx.groups, self.now) > DRAGS
-
-    def budget(self, server):
-        """Little's law: our hops at a host whose answers take ROOMY times as long as in quiet."""
-        share = server.size * self.warmth(server) / self.weight * FAIR * (len(self.flying) + 1)
-        if self.terms.live_weights and server.size < (1 + SPARE) * server.line.weight:
-            return share + 2 * share**0.5 + 1  # told to hold little: room for a usual swing
-        return max(self.least, min(ROOMY * self.quiet_out(server.sent), share) if self.busy() else share)
-
-    def has_room(self, server):
-        """Guards against hosts that leave single hops unanswered: these hold no place of others."""
-        held = len(server.out)
-        return held < self.least or held - self.owed(server.out) < self.budget(server)
-
-    def owed(self, out):
-        """So many hops are late with nothing heard since, or later ones answered: that tells of no crowd."""
+        free = not host.attempts and not self.excluded(host, "ban", "rest") and self.admits(tx, host)
+        return host if free and TRIAL_PART * (tx.goal_at - self.now) > 2 * tx.profile.service_goal else None
+
+    def is_slow(self, tx):
+        """Its profile or its tenant is slow at all hosts while others are not: no fault of the hosts."""
+        return self.slow_groups.excess(tx.groups, self.now) > SLOW_SHARE
+
+    def concurrency_limit(self, host):
+        """Little's law: our attempts at a host whose latency is QUEUEING times the unloaded one."""
+        share = host.capacity * self.warm_share(host) / self.capacity * MAX_SHARE * (len(self.attempts) + 1)
+        if self.settings.live_weights and host.capacity < (1 + SPARE) * host.entry.weight:
+            return share + 2 * share**0.5 + 1  # little load by its live weight: room for a usual swing
+        return max(self.min_held, min(QUEUEING * self.base_load(host.sent), share) if self.busy() else share)
+
+    def has_capacity(self, host):
+        """Overdue attempts don't count: a host that leaves some unanswered would have no place for others."""
+        held = len(host.attempts)
+        return held < self.min_held or held - self.overdue(host.attempts) < self.concurrency_limit(host)
+
+    def overdue(self, attempts):
+        """Attempts that are late with no answer since, or passed over by later ones: no sign of a crowd."""
         return sum(
-            self.seen - sent_at >= late_after and (server.heard <= sent_at or sent_at < server.passed)
-            for server, sent_at, late_after in out.values()
+            self.seen_to - sent_at >= late_after
+            and (host.last_answer <= sent_at or sent_at < host.answered_send)
+            for host, sent_at, late_after in attempts.values()
         )
 
     def busy(self):
-        """Answers are slow, or some wait: when they quicken the whole line must not go out at once."""
-        return self.strain > BUSY and self.cores > SPARE or bool(self.line) and not self.line[0][0]
+        """Answers are slow, or first attempts wait: as answers speed up the queue must not go out at once."""
+        return self.slowdown > BUSY and self.load > SPARE or bool(self.queue) and not self.queue[0][0]
 
-    def full(self):
-        """Guards against many proxies with a hop or two each; one that is owed, or drags, does not count."""
-        if self.terms.live_weights or not (self.rooted or self.busy()):
+    def at_limit(self):
+        """Of all attempts, as many proxies with one each overload hosts; overdue, slow ones don't count."""
+        if self.settings.live_weights or not (self.home_zone or self.busy()):
             return False
-        usual, out = self.quiet_out(self.sent), len(self.flying)
-        if self.rooted:  # a hop of each proxy at each host would fill these before any answer tells
-            few = max(1.0, BEARABLE * len(self.ready) / self.terms.proxies, ROOMY * usual)
-            return out >= few and sum(not self.drags(self.txs[n]) for n, _ in self.flying) >= few
-        spare = max(0.0, min(1.0, (CROWDED - self.strain) / (CROWDED - BUSY)))
-        most = max(1.0, ROOMY * usual + spare * (1 + 2 * usual**0.5))
-        return out - spare * self.owed(self.flying) >= most
-
-    def quiet_out(self, sent):
-        """Hops out at this rate in quiet times, those that lie here answered but unread included."""
-        span = min(self.terms.fall_time, max(self.now - self.born, self.quiet_mix))
-        return sent.count(self.now) / span * (self.quiet_mix + self.unread)
-
-    def ranking(self, key):
-        self.learn()
+        usual, held = self.base_load(self.sent), len(self.attempts)
+        if self.home_zone:  # an attempt of each proxy at each host fills the zone before an answer tells
+            limit = max(1.0, HOST_MINIMUM * len(self.ready) / self.settings.proxies, QUEUEING * usual)
+            return held >= limit and sum(not self.is_slow(self.txs[n]) for n, _ in self.attempts) >= limit
+        spare = max(0.0, min(1.0, (OVERLOAD - self.slowdown) / (OVERLOAD - BUSY)))
+        most = max(1.0, QUEUEING * usual + spare * (1 + 2 * usual**0.5))
+        return held - spare * self.overdue(self.attempts) >= most
+
+    def base_load(self, sent):
+        """Attempts open at this rate in quiet times, with answers that lie here unread."""
+        span = min(self.settings.overload_time, max(self.now - self.started, self.base_latency))
+        return sent.count(self.now) / span * (self.base_latency + self.unread_delay)
+
+    def ranked_hosts(self, key):
+        self.update_estimates()
         if self.now >= self.ranked_until:
-            self.reset_rankings()
+            self.rebuild_rankings()
         if key is None:
-            yield from self.chance.sample(self.home, len(self.home))
+            yield from self.rng.sample(self.preferred, len(self.preferred))
             return
-        first = self.rankings.get(key)
+        first = self.ranking_cache.get(key)
         if first is None:
-            if len(self.rankings) >= KEPT:
-                del self.rankings[next(iter(self.rankings))]
-            first = self.rankings[key] = self.rendezvous.first(key)
+            if len(self.ranking_cache) >= TABLE_SIZE:
+                del self.ranking_cache[next(iter(self.ranking_cache))]
+            first = self.ranking_cache[key] = self.rendezvous.leaders(key)
         yield from first
-        if len(first) < len(self.home):
+        if len(first) < len(self.preferred):
             yield from self.rendezvous.order(key)[len(first) :]
 
-    def reset_rankings(self):
-        self.rankings.clear()
-        self.ready = [s for s in self.servers.values() if s.line.ready]
-        near = [s for s in self.ready if s.line.zone == self.rooted]
-        self.home = near + self.elsewhere(all(self.away(s, "ban") for s in near)) if near else self.ready
-        self.weight = sum(s.size * self.warmth(s) for s in self.ready)
-        # a key's warm hosts in all zones are worth more than a crossing while the list tells of busy ones
-        lean = 0 if self.terms.live_weights and self.cores > SPARE else 100 * self.terms.cross_price
+    def rebuild_rankings(self):
+        self.ranking_cache.clear()
+        self.ready = [h for h in self.hosts.values() if h.entry.ready]
+        near = [h for h in self.ready if h.entry.zone == self.home_zone]
+        self.preferred = near + self.spill(all(self.excluded(h, "ban") for h in near)) if near else self.ready
+        self.capacity = sum(h.capacity * self.warm_share(h) for h in self.ready)
+        # under load by live weights, a key's warm hosts in all zones are worth more than staying in the zone
+        lean = 0 if self.settings.live_weights and self.load > SPARE else 100 * self.settings.cross_zone_price
         self.rendezvous = Rendezvous(
-            self.home,
-            [s.line.hash for s in self.home],
-            [s.size * self.warmth(s) * (1.0 + lean * (s.line.zone == self.terms.zone)) for s in self.home],
+            self.preferred,
+            [h.entry.hash for h in self.preferred],
+            [
+                h.capacity * self.warm_share(h) * (1.0 + lean * (h.entry.zone == self.settings.zone))
+                for h in self.preferred
+            ],
+        )
+        steps = [self.now + self.settings.slow_start_time // COLD_STEPS for h in self.ready if h.cold_since]
+        self.ranked_until = min(
+            [float("inf"), *steps] + [h.excluded_until["ban"] for h in near if self.excluded(h, "ban")]
         )
-        steps = [self.now + self.terms.cold_time // COLD_STEPS for s in self.ready if s.fresh_from]
-        self.ranked_until = min([float("inf"), *steps] + [s.away["ban"] for s in near if self.away(s, "ban")])
 
-    def elsewhere(self, needed):
-        """A few hosts of other zones that answer quickly: each proxy others, not to crowd these."""
+    def spill(self, needed):
+        """A few fast hosts of other zones: each proxy uses others, so as not to crowd the same ones."""
         far = [
-            s
-            for s in self.ready
-            if s.line.zone != self.rooted
-            and not s.failures
-            and (s.strain < SWIFT or s.heard + COOLDOWN < self.now)
+            h
+            for h in self.ready
+            if h.entry.zone != self.home_zone
+            and not h.failures
+            and (h.slowdown < SPILL_MAX or h.last_answer + BAN_TIME < self.now)
         ]
-        order = Rendezvous(far, [s.line.hash for s in far], [1.0] * len(far)).order(self.terms.position)
-        return order[: max(self.extra, needed)]
+        order = Rendezvous(far, [h.entry.hash for h in far], [1.0] * len(far)).order(self.settings.position)
+        return order[: max(self.spill_count, needed)]
 
-    def learn(self):
-        """What changes slowly: what a warm host usually commits for us, and how crowded home is."""
-        if self.now < self.learn_next:
+    def update_estimates(self):
+        """What changes slowly: the commit rate of warm hosts, and how many hosts of other zones to use."""
+        if self.now < self.next_estimate_at:
             return
-        self.learn_next = self.now + LEARN_EVERY
-        known = [s for s in self.ready if not self.away(s, "ban")]
-        if warm := [s for s in known if s.fresh_from is None]:  # not what hosts gone or banned have committed
-            rate = sum(s.committed.count(self.now) for s in warm) / sum(s.size for s in warm)
-            if rate > self.usual_rate or not self.busy():  # in a crowd they commit less than they could
-                self.usual_rate += (rate - self.usual_rate) * 0.3
-        if self.rooted:  # free profiles go elsewhere while home is crowded, where hosts suffice
-            near = [s.strain for s in known if s.line.zone == self.rooted] or [1.0]
-            strain, most = sum(near) / len(near), SPILL * len(self.ready) // self.terms.proxies
-            self.extra = max(0, min(most, self.extra + (strain > AT_HOME) - (strain < BUSY)))
-            self.reset_rankings()
-
-    def keep_away(self, server, reason, wait):
-        server.away[reason] = self.now + wait
-        self.effects.append(i.SetTimer(wait, 1))
-
-    def listed(self, server, line):
-        """A live weight only says too little; in steps, against an untrue tenfold."""
-        if line.started is not None and line.started != server.line.started:
-            server.renew(line)
-        server.line, server.doubted = line, False
-        server.size = (
-            line.weight
-            if not self.terms.live_weights
-            else max(server.size, min(line.weight, 2 * server.size or line.weight))
+        self.next_estimate_at = self.now + ESTIMATE_INTERVAL
+        known = [h for h in self.ready if not self.excluded(h, "ban")]
+        if warm := [h for h in known if h.cold_since is None]:  # hosts that are gone or banned commit less
+            rate = sum(h.committed.count(self.now) for h in warm) / sum(h.capacity for h in warm)
+            if rate > self.commit_rate or not self.busy():  # in a crowd hosts commit less than they could
+                self.commit_rate += (rate - self.commit_rate) * 0.3
+        if self.home_zone:  # profiles without placement leave a crowded home zone if there are enough hosts
+            near = [h.slowdown for h in known if h.entry.zone == self.home_zone] or [1.0]
+            mean, most = sum(near) / len(near), SPILL_HOSTS * len(self.ready) // self.settings.proxies
+            self.spill_count = max(0, min(most, self.spill_count + (mean > HOME_MAX) - (mean < BUSY)))
+            self.rebuild_rankings()
+
+    def exclude(self, host, reason, wait):
+        host.excluded_until[reason] = self.now + wait
+        self.effects.append(interface.SetTimer(wait, 1))
+
+    def update_entry(self, host, entry):
+        """A live weight is at most the capacity, which at most doubles at a time: a weight may be untrue."""
+        if entry.started_at is not None and entry.started_at != host.entry.started_at:
+            host.renew(entry)
+        host.entry, host.unlisted = entry, False
+        host.capacity = (
+            entry.weight
+            if not self.settings.live_weights
+            else max(host.capacity, min(entry.weight, 2 * host.capacity or entry.weight))
         )
 
-    def left_out(self, server):
-        """Gone, by the list. Where only draining binds that is a doubt: its next fault proves it."""
-        if self.terms.only_draining_binds and server.line.ready and self.now < server.heard + LEFT_OUT:
-            server.proven, server.doubted = server.proven and server.doubted, True
+    def mark_unlisted(self, host):
+        """Not on the list: gone, unless unlisted hosts are usable; then it goes with its next fault."""
+        if self.settings.use_unlisted and host.entry.ready and self.now < host.last_answer + UNLISTED_SILENCE:
+            host.trusted, host.unlisted = host.trusted and host.unlisted, True
         else:
-            server.line = server.line._replace(ready=False)
-
-    def judge(self, server, sent_at, tx, event):
-        """What the outcome does to the host; returns whether the transaction itself is at fault."""
-        effect, ran = SORTED[event.outcome]
-        self.unread += (event.waited - self.unread) * 0.02
-        if event.outcome in SPOKEN:
-            server.heard, server.passed = self.now, max(server.passed, sent_at)
-            server.passed_by[tx.kind] = max(server.passed_by.get(tx.kind, 0), sent_at)
-        elif server.doubted and effect not in (None, "weigh"):  # not where we called it back ourselves
-            server.line = server.line._replace(ready=False)
-            self.reset_rankings()
-        if ran and not tx.ran:
-            tx.ran = sent_at, server.line
-        at_fault = event.outcome == i.TIMED_OUT and self.drags(tx)
-        if tx.key is not None and event.outcome in KEYED_FAILURES:  # of one key at several hosts: its own
-            at_fault |= len(self.failing.add(tx.key, server.id, self.now)) >= SPREAD
+            host.entry = host.entry._replace(ready=False)
+
+    def record_outcome(self, host, sent_at, tx, event):
+        """Apply an outcome to the host; returns whether the transaction itself is at fault."""
+        effect, ran = OUTCOME_EFFECTS[event.outcome]
+        self.unread_delay += (event.unread_for - self.unread_delay) * 0.02
+        if event.outcome in RESPONSES:
+            host.last_answer, host.answered_send = self.now, max(host.answered_send, sent_at)
+            host.answered_by[tx.profile_id] = max(host.answered_by.get(tx.profile_id, 0), sent_at)
+        elif host.unlisted and effect not in (None, "weigh"):  # an attempt that we cancelled proves nothing
+            host.entry = host.entry._replace(ready=False)
+            self.rebuild_rankings()
+        if ran and not tx.first_run:
+            tx.first_run = sent_at, host.entry
+        at_fault = event.outcome == interface.TIMED_OUT and self.is_slow(tx)
+        if tx.key is not None and event.outcome in KEYED_FAILURES:  # at several hosts: the key's fault
+            at_fault |= len(self.key_failures.add(tx.key, host.id, self.now)) >= KEY_HOSTS
         if effect and not at_fault:
-            getattr(self, effect)(server, tx, event)
+            getattr(self, effect)(host, tx, event)
         return at_fault
 
-    def sound(self, server, tx, event):
-        server.proven, server.failures = True, 0
-        server.timeouts.pop(tx.kind, None)
-        server.erring *= 0.9
-        self.failing.drop(tx.key)
-        since, self.last_commit = self.now - self.last_commit, self.now
-        if not self.drags(tx):
-            self.latency[tx.kind].add(event.elapsed)
-        self.drag.add(tx.groups, event.elapsed > CROWDED * self.latency[tx.kind].quiet, self.now)
-        strain = self.slowness(server, tx, event)
-        # by time, where answers are few; of commits only: what silent hosts owe is no crowd at the others
-        self.weigh(server, tx, event, strain)
-        if not server.throttles or 2 * sum(bool(s.throttles) for s in self.ready) > len(self.ready):
-            self.strain += (strain - self.strain) * max(0.02, min(0.2, LEARN * since / self.terms.fall_time))
-        server.committed.add(self.now)
-
-    def slowness(self, server, tx, event):
-        """Against quiet times; a cold host is slow by nature, and rested till it was warm and longer."""
-        slower = event.elapsed / self.latency[tx.kind].quiet * self.warmth(server)
-        return 1.0 if self.drags(tx) else min(10.0, slower)
-
-    def weigh(self, server, tx, event, strain=None):
-        if event.outcome != i.COMMITTED and self.now - event.elapsed < server.passed:
-            return  # guards against a crowd seen where single hops stay unanswered, later ones not
-        strain = strain or max(server.strain, self.slowness(server, tx, event))
-        often = max(1, server.sent.count(self.now))  # guards against jams that many proxies meet seldom
-        server.strain += (strain - server.strain) * (0.5 if server.throttles else max(0.1, SELDOM / often))
-        # guards against hosts that turn slower when crowded until they rest; not all, where all are slow
-        others = min(OTHERS, max(1.0, self.strain)) if self.terms.live_weights else 1.0
-        if server.strain > (AT_HOME if self.rooted and self.strain > FROM else CROWDED * others):
-            self.back_off(server, tx, event, max(BACKOFF, self.terms.fall_time // often), COOLDOWN)
+    def sound(self, host, tx, event):
+        """A commit: the host is trusted again, and its latency counts."""
+        host.trusted, host.failures = True, 0
+        host.timeouts.pop(tx.profile_id, None)
+        host.error_rate *= 0.9
+        self.key_failures.drop(tx.key)
+        since, self.last_commit_at = self.now - self.last_commit_at, self.now
+        if not self.is_slow(tx):
+            self.latency[tx.profile_id].add(event.elapsed)
+        self.slow_groups.add(tx.groups, event.elapsed > OVERLOAD * self.latency[tx.profile_id].base, self.now)
+        sample = self.slowness(host, tx, event)
+        # weighted by time, where answers are few; only commits, as a silent host does not make others busy
+        self.weigh(host, tx, event, sample)
+        if not host.throttles or 2 * sum(bool(h.throttles) for h in self.ready) > len(self.ready):
+            self.slowdown += (sample - self.slowdown) * max(
+                0.02, min(0.2, FLEET_WEIGHT * since / self.settings.overload_time)
+            )
+        host.committed.add(self.now)
+
+    def slowness(self, host, tx, event):
+        """Slowdown by this answer. A cold host is slow by nature: unscaled, it was backed off until warm."""
+        slower = event.elapsed / self.latency[tx.profile_id].base * self.warm_share(host)
+        return 1.0 if self.is_slow(tx) else min(10.0, slower)
+
+    def weigh(self, host, tx, event, sample=None):
+        """Update the host's slowdown, and back it off while that is too high."""
+        if event.outcome != interface.COMMITTED and self.now - event.elapsed < host.answered_send:
+            return  # one attempt went unanswered and later ones did not: no sign of a crowd
+        sample = sample or max(host.slowdown, self.slowness(host, tx, event))
+        often = max(1, host.sent.count(self.now))  # many proxies each meet a jam seldom: each answer counts
+        host.slowdown += (sample - host.slowdown) * (0.5 if host.throttles else max(0.1, HOST_WEIGHT / often))
+        # a crowded host gets slower until it is left alone; not each host, where the whole fleet is slow
+        factor = min(MAX_FLEET_FACTOR, max(1.0, self.slowdown)) if self.settings.live_weights else 1.0
+        if host.slowdown > (HOME_MAX if self.home_zone and self.slowdown > FLEET_MIN else OVERLOAD * factor):
+            self.back_off(host, tx, event, max(FIRST_BACKOFF, self.settings.overload_time // often), BAN_TIME)
         else:
-            server.throttles = 0
+            host.throttles = 0
 
-    def timed_out(self, server, tx, event):
-        self.weigh(server, tx, event)
-        if (sent_at := self.now - event.elapsed) < server.passed_by.get(tx.kind, 0):
+    def timed_out(self, host, tx, event):
+        """A run of a profile's time-outs bans the host; if it answers others, excludes it for that one."""
+        self.weigh(host, tx, event)
+        if (sent_at := self.now - event.elapsed) < host.answered_by.get(tx.profile_id, 0):
             return
-        run, since = server.timeouts.get(tx.kind, (0, sent_at))
-        server.timeouts[tx.kind] = run + 1, since
-        if run + 1 >= TIMEOUT_RUN and server.heard <= since:
-            self.ban(server, tx, event)
-        elif run + 1 >= TIMEOUT_RUN:  # guards against hosts that answer all but one profile: kept away
-            self.keep_away(server, tx.kind, COOLDOWN)  # for that one; its next time-out does it again
-
-    def erred(self, server, tx, event):
-        """Quick errors look like an idle host and draw more: those of several keys are the host's fault."""
-        self.effects += [i.MetFault(server.id)] * self.terms.peers
-        if tx.key is None or tx.key != server.erred_key:
-            server.erring, server.erred_key = server.erring * 0.9 + 0.1, tx.key
-        server.proven = server.proven and event.outcome == i.ERROR  # a reset: one repeatable looks
-        median = sorted(s.erring for s in self.servers.values())[(len(self.servers) - 1) // 2]
-        if server.erring > ERRING + 2 * median:  # beyond what most share
-            self.ban(server, tx, event)
-
-    def ban(self, server, tx, event):
-        lost = event.outcome == i.UNREACHABLE  # guards against ten seconds without a host for one pause
-        self.keep_away(server, "ban", min(COOLDOWN, FIRST_BAN * 2**server.failures) if lost else COOLDOWN)
-        server.failures = min(server.failures + lost, 8)
-        server.erring, server.timeouts, server.proven = 0, {}, False
-        if self.rooted:
-            self.reset_rankings()
-
-    def back_off(self, server, tx, event, first=BACKOFF, most=BACKOFF_MOST):
-        self.keep_away(server, "rest", min(most, first * 2**server.throttles))
-        server.throttles = min(server.throttles + 1, 8)
+        run, since = host.timeouts.get(tx.profile_id, (0, sent_at))
+        host.timeouts[tx.profile_id] = run + 1, since
+        if run + 1 >= BAN_TIMEOUTS and host.last_answer <= since:
+            self.ban(host, tx, event)
+        elif run + 1 >= BAN_TIMEOUTS:
+            self.exclude(host, tx.profile_id, BAN_TIME)  # its next time-out does it again
+
+    def erred(self, host, tx, event):
+        """Quick errors look like an idle host and attract attempts; those of several keys are its fault."""
+        self.effects += [interface.ReportHostFault(host.id)] * self.settings.peer_reports
+        if tx.key is None or tx.key != host.last_error_key:
+            host.error_rate, host.last_error_key = host.error_rate * 0.9 + 0.1, tx.key
+        host.trusted = host.trusted and event.outcome == interface.ERROR  # reset: a repeatable one tries it
+        median = sorted(h.error_rate for h in self.hosts.values())[(len(self.hosts) - 1) // 2]
+        if host.error_rate > MAX_ERROR_RATE + 2 * median:  # more than most hosts share
+            self.ban(host, tx, event)
+
+    def ban(self, host, tx, event):
+        """Failed connections begin with a short ban: a host's short pause must not cost it ten seconds."""
+        lost = event.outcome == interface.UNREACHABLE
+        self.exclude(host, "ban", min(BAN_TIME, CONNECT_BAN * 2**host.failures) if lost else BAN_TIME)
+        host.failures = min(host.failures + lost, 8)
+        host.error_rate, host.timeouts, host.trusted = 0, {}, False
+        if self.home_zone:
+            self.rebuild_rankings()
+
+    def back_off(self, host, tx, event, first=FIRST_BACKOFF, most=MAX_BACKOFF):
+        self.exclude(host, "rest", min(most, first * 2**host.throttles))
+        host.throttles = min(host.throttles + 1, 8)
--- a/basalthook/policy/interface.py
+++ b/basalthook/policy/interface.py
@@ -24,7 +24,7 @@
 ENDPOINT_LEAVING, PLACEMENT, CLIENT_GONE = "endpoint leaving", "placement", "client gone"
 
 # News of a host: one proxy met a fault there, told to the one who counts; many did, told to all.
-MET_FAULT, AT_FAULT = "met fault", "at fault"
+FAULT_SEEN, FAULT_CONFIRMED = "met fault", "at fault"
 
 
 class Profile(NamedTuple):
@@ -36,40 +36,40 @@
     host_kinds: frozenset | None = None  # and to hosts of these kinds only
 
 
-class Agreement(NamedTuple):
+class PolicySettings(NamedTuple):
     """What the operator grants and demands, read once at start."""
 
     profiles: tuple[Profile, ...]
     position: int  # this proxy among its fellows, from 0
     proxies: int
     zone: str
-    cross_price: float  # points lost where every transaction crosses zones once, of 1
+    cross_zone_price: float  # points lost where every transaction crosses zones once, of 1
     warm_keys: bool  # a host that met a key lately does less work for it
     list_on_request: bool  # the host list comes only to those who ask
-    ask_within: int
-    cold_share: float  # a fresh host has at least this share of its capacity
-    cold_time: int  # and all of it after this time
-    fall_multiple: float  # sent more than this multiple of present capacity ...
-    fall_time: int  # ... for this long, a cold host falls
-    max_hops: int
-    cancelling: bool
-    come_back_max: int  # longest come-back time that clients are told; 0: none
+    list_poll_interval: int
+    slow_start_share: float  # a fresh host has at least this share of its capacity
+    slow_start_time: int  # and all of it after this time
+    overload_factor: float  # sent more than this multiple of present capacity ...
+    overload_time: int  # ... for this long, a cold host falls
+    max_attempts: int
+    can_cancel: bool
+    max_retry_after: int  # longest come-back time that clients are told; 0: none
     live_weights: bool = False  # listed weights are size / (1 + transactions held a core), and late
-    peers: bool = False  # proxies may tell one another news, which may be lost
-    only_draining_binds: bool = False  # hosts gone or left out, but not seen draining, may be sent to
-    grace: int = 0  # after it was told that a host drains nothing goes there
+    peer_reports: bool = False  # proxies may tell one another news, which may be lost
+    use_unlisted: bool = False  # hosts gone or left out, but not seen draining, may be sent to
+    drain_grace: int = 0  # after it was told that a host drains nothing goes there
 
 
-class Host(NamedTuple):
+class HostEntry(NamedTuple):
     """One line of the host list."""
 
-    host: int
+    host_id: int
     hash: int
     zone: str
     cell: int
     ready: bool  # false: draining or gone
     weight: float  # its size; or, by the agreement, what its load leaves of it
-    started: int | None  # None: long ago
+    started_at: int | None  # None: long ago
     kind: str = ""  # a make of machine, for placement; "": not told
     draining: bool = False  # where not ready: it is finishing, not gone
 
@@ -77,84 +77,84 @@
 # Events
 
 
-class HostsListed(NamedTuple):
-    hosts: tuple[Host, ...]
+class HostListReceived(NamedTuple):
+    hosts: tuple[HostEntry, ...]
     complete: bool  # the whole list: a host that is not in it is gone
-    answered: bool  # false: the list held from before, nobody was asked
+    from_discovery: bool  # false: the list held from before, nobody was asked
 
 
-class ListFailed(NamedTuple):
+class HostListFailed(NamedTuple):
     pass
 
 
 class TxArrived(NamedTuple):
     tx: int
-    profile: int  # index in Agreement.profiles
+    profile: int  # index in PolicySettings.profiles
     key: int | None
-    patience: int  # what is left of it now
-    waited: int = 0  # since its last byte came in, where this process was late to look
-    party: int | None = None  # whose it is, where that is told
+    time_left: int  # what is left of it now
+    unread_for: int = 0  # since its last byte came in, where this process was late to look
+    tenant: int | None = None  # whose it is, where that is told
 
 
-class HopEnded(NamedTuple):
+class AttemptEnded(NamedTuple):
     tx: int
-    hop: int
+    attempt: int
     host: int
     outcome: str
     elapsed: int
-    closed: bool  # the transaction has its final answer
-    waited: int = 0  # its answer lay here unread for this long; not in `elapsed`
+    final: bool  # the transaction has its final answer
+    unread_for: int = 0  # its answer lay here unread for this long; not in `elapsed`
 
 
-class StreamBegan(NamedTuple):
+class StreamStarted(NamedTuple):
     tx: int
-    hop: int
+    attempt: int
 
 
-class TxGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     tx: int
 
 
 class TimerDue(NamedTuple):
-    mark: int
+    timer_id: int
 
 
-class Shared(NamedTuple):
+class ProcessCount(NamedTuple):
     processes: int  # so many of this proxy live at present, within the limits of one
 
 
-class Judged(NamedTuple):
+class HostVerdicts(NamedTuple):
     """What whoever speaks for the fleet holds of hosts, beside what this proxy knows itself."""
 
     hosts: tuple  # (host, kept away until, a growing part of all until)
     trial: int | None = None  # one of these that this proxy is to try once; None: none
 
 
-class Allowed(NamedTuple):
+class LimitsUpdated(NamedTuple):
     """What the fleet's limits leave this proxy from now on; what is not named stays as it was told."""
 
     rows: tuple  # (key, so many always, so many more until, until); keys see below
-    same: tuple = ()  # (key, the key whose row it shares)
-    come_back: int = 0  # for those refused for want of them; 0: more may come within moments
+    aliases: tuple = ()  # (key, the key whose row it shares)
+    retry_after: int = 0  # for those refused for want of them; 0: more may come within moments
 
 
-# Keys of what a limit may bind: (AT_HOST, host), (FIRST, profile), (FURTHER, None). None in place of a number
-# stands for all that are not named.
-AT_HOST, FIRST, FURTHER = "at host", "first", "further"
+# Keys of limits: (PER_HOST, host), (FIRST_ATTEMPT, profile), (FURTHER_ATTEMPT, None). None in place of a
+# number stands for all that are not named.
+PER_HOST, FIRST_ATTEMPT, FURTHER_ATTEMPT = "at host", "first", "further"
 
 
-class NewsCame(NamedTuple):
+class PeerReportReceived(NamedTuple):
     """For the decider beside the decisions that counts news (`fleet.counting`)."""
 
     sender: int  # another proxy's position; whatever it says is no more than its word
     host: int
-    what: str
+    report: str
 
 
 # Effects
 
 
-class SendHop(NamedTuple):
+class SendAttempt(NamedTuple):
     tx: int
     host: int
     time_limit: int
@@ -162,7 +162,7 @@
 
 class RollBack(NamedTuple):
     tx: int
-    come_back: int  # 0: nothing said
+    retry_after: int  # 0: nothing said
     reason: str = ""  # for the log
 
 
@@ -171,27 +171,27 @@
     reason: str = ""
 
 
-class CancelHop(NamedTuple):
+class CancelAttempt(NamedTuple):
     tx: int
-    hop: int
+    attempt: int
 
 
-class WatchList(NamedTuple):
+class RequestHostList(NamedTuple):
     pass
 
 
-class MetFault(NamedTuple):
+class ReportHostFault(NamedTuple):
     host: int  # a host fault, not a transaction's own; given where `peers` allows news
 
 
-class TellNews(NamedTuple):
+class SendPeerReport(NamedTuple):
     """Of the decider that counts news."""
 
     peer: int | None  # a position; None: all
     host: int
-    what: str
+    report: str
 
 
 class SetTimer(NamedTuple):
     delay: int
-    mark: int
+    timer_id: int
--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -3,12 +3,12 @@
 from collections import OrderedDict, deque
 from math import exp, log
 
-from . import interface as i
+from . import interface
 
-LANE = (1 << 64) - 1
+LANE_MASK = (1 << 64) - 1
 
 
-class Window:
+class SlidingWindow:
     """How often something happened lately; what is older than the span is let go at each use."""
 
     __slots__ = ("span", "times")
@@ -36,99 +36,110 @@
     Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996; mix of splitmix64.
     """
 
-    def __init__(self, hosts: list, hashes: list[int], weights: list[float], few: int = 16) -> None:
+    def __init__(self, hosts: list, hashes: list[int], weights: list[float], leader_count: int = 16) -> None:
         self.hosts, self.weights, wide = hosts, weights, 16 * len(hosts)
-        self.ones = int.from_bytes(b"\1".ljust(16, b"\0") * len(hosts), "little")
-        self.low, self.wide = self.ones * LANE, wide
-        self.hashes = int.from_bytes(b"".join((h & LANE).to_bytes(16, "little") for h in hashes), "little")
-        bound = few / (sum(weights) or 1.0)
-        self.least = [int(exp(-weight * bound) * 2**64) for weight in weights]
-
-    def mixed(self, key: int) -> list[int]:
-        x = (self.hashes ^ self.ones * (key & LANE)) * 0x9E3779B97F4A7C15 & self.low
-        x = ((x ^ x >> 29) & self.low) * 0xBF58476D1CE4E5B9 & self.low
-        return memoryview(((x ^ x >> 32) & self.low).to_bytes(self.wide, "little")).cast("Q").tolist()[::2]
+        self.lane_ones = int.from_bytes(b"\1".ljust(16, b"\0") * len(hosts), "little")
+        self.lane_mask, self.byte_count = self.lane_ones * LANE_MASK, wide
+        self.hashes = int.from_bytes(
+            b"".join((h & LANE_MASK).to_bytes(16, "little") for h in hashes), "little"
+        )
+        bound = leader_count / (sum(weights) or 1.0)
+        self.thresholds = [int(exp(-weight * bound) * 2**64) for weight in weights]
+
+    def mixed_hashes(self, key: int) -> list[int]:
+        x = (self.hashes ^ self.lane_ones * (key & LANE_MASK)) * 0x9E3779B97F4A7C15 & self.lane_mask
+        x = ((x ^ x >> 29) & self.lane_mask) * 0xBF58476D1CE4E5B9 & self.lane_mask
+        return (
+            memoryview(((x ^ x >> 32) & self.lane_mask).to_bytes(self.byte_count, "little"))
+            .cast("Q")
+            .tolist()[::2]
+        )
 
     def sorted(self, numbers, mixed: list[int]) -> list:
         claims = {n: -log((mixed[n] + 1) / 2**64) / self.weights[n] for n in numbers}
         return [self.hosts[n] for n in sorted(claims, key=claims.__getitem__)]
 
-    def first(self, key: int) -> list:
+    def leaders(self, key: int) -> list:
         """About `few` hosts that lead the order, seldom none."""
-        mixed = self.mixed(key)
-        near = [n for n, (x, least) in enumerate(zip(mixed, self.least, strict=True)) if x >= least]
+        mixed = self.mixed_hashes(key)
+        near = [n for n, (x, least) in enumerate(zip(mixed, self.thresholds, strict=True)) if x >= least]
         return self.sorted(near, mixed)
 
     def order(self, key: int) -> list:
         """All of them; it begins with what `first` gives."""
-        return self.sorted(range(len(self.hosts)), self.mixed(key))
+        return self.sorted(range(len(self.hosts)), self.mixed_hashes(key))
 
 
 class Latency:
     """Of one profile: its mean and deviation, and what it is with little waiting; never under `least`."""
 
-    def __init__(self, goal: int, least: float) -> None:
-        self.mean = self.deviation = self.quiet = self.level = goal / 8
-        self.goal, self.least = goal, least
+    def __init__(self, goal: int, floor: float) -> None:
+        self.mean = self.deviation = self.base = self.slow_mean = goal / 8
+        self.goal, self.floor = goal, floor
 
     def add(self, elapsed: int) -> None:
         error = elapsed - self.mean
         self.mean += error * 0.05
         self.deviation += (abs(error) - self.deviation) * 0.05
-        self.level += (elapsed - self.level) * 0.01  # steady: few are very heavy
-        gap = self.level - self.quiet
-        self.quiet = max(self.quiet + gap * (0.02 if gap < 0 else 0.00005), self.least)
+        self.slow_mean += (elapsed - self.slow_mean) * 0.01  # steady: few are very heavy
+        gap = self.slow_mean - self.base
+        self.base = max(self.base + gap * (0.02 if gap < 0 else 0.00005), self.floor)
 
     @property
-    def usual(self) -> float:
+    def expected(self) -> float:
         return self.mean + self.deviation
 
 
-class Spread:
+class RecentPlaces:
     """Where each key was met lately: aged by the span, and the oldest keys let go beyond so many."""
 
-    def __init__(self, span: int, most: int) -> None:
-        self.span, self.most, self.met = span, most, OrderedDict()
+    def __init__(self, span: int, max_keys: int) -> None:
+        self.span, self.max_keys, self.seen_at = span, max_keys, OrderedDict()
 
     def add(self, key, place, now: int) -> dict:
-        seen = {p: at for p, at in self.met.pop(key, {}).items() if at > now - self.span}
-        seen[place], self.met[key] = now, seen
-        if len(self.met) > self.most:
-            self.met.popitem(last=False)
+        seen = {p: at for p, at in self.seen_at.pop(key, {}).items() if at > now - self.span}
+        seen[place], self.seen_at[key] = now, seen
+        if len(self.seen_at) > self.max_keys:
+            self.seen_at.popitem(last=False)
         return seen
 
     def drop(self, key) -> None:
-        self.met.pop(key, None)
+        self.seen_at.pop(key, None)
 
 
-class Drag:
+class SlowGroups:
     """The share of slow answers of each group of a sort; the groups longest unheard go beyond so many.
 
     `known`: answers that make a share worth comparing; three times as many, worth acting on.
     """
 
-    def __init__(self, span: int, most: int, known: int) -> None:
-        self.span, self.most, self.known, self.heard = span, most, known, OrderedDict()
+    def __init__(self, span: int, max_groups: int, min_answers: int) -> None:
+        self.span, self.max_groups, self.min_answers, self.stats = (
+            span,
+            max_groups,
+            min_answers,
+            OrderedDict(),
+        )
 
     def add(self, groups: tuple, slow: bool, now: int) -> None:
         for group in groups:
-            share, answers, _ = self.heard.pop(group, (0.0, 0, now))
-            self.heard[group] = share + (slow - share) * 0.12, answers + 1, now
-        while len(self.heard) > self.most:
-            self.heard.popitem(last=False)
+            share, answers, _ = self.stats.pop(group, (0.0, 0, now))
+            self.stats[group] = share + (slow - share) * 0.12, answers + 1, now
+        while len(self.stats) > self.max_groups:
+            self.stats.popitem(last=False)
 
-    def of(self, groups: tuple, now: int) -> float:
-        return max(self.beyond(group, now) for group in groups)
+    def excess(self, groups: tuple, now: int) -> float:
+        return max(self.group_excess(group, now) for group in groups)
 
-    def beyond(self, group: tuple, now: int) -> float:
+    def group_excess(self, group: tuple, now: int) -> float:
         """By how much its share is over the least of another of its sort; 0 where too little is known."""
-        found = self.heard.get(group)
+        found = self.stats.get(group)
         others = [
             share
-            for (sort, which), (share, answers, at) in self.heard.items()
-            if sort == group[0] and which != group[1] and answers >= self.known and at > now - self.span
+            for (sort, which), (share, answers, at) in self.stats.items()
+            if sort == group[0] and which != group[1] and answers >= self.min_answers and at > now - self.span
         ]
-        return found[0] - min(others) if found and others and found[1] >= 3 * self.known else 0.0
+        return found[0] - min(others) if found and others and found[1] >= 3 * self.min_answers else 0.0
 
 
 class Allowance:
@@ -140,25 +151,25 @@
     def __init__(self) -> None:
         self.rows: dict[tuple, tuple] = {}  # as many as hosts and profiles
         self.used: dict[tuple, int] = {}  # since the row was told
-        self.same: dict[tuple, tuple] = {}
-        self.later = 0  # a come-back time for those whom limits refuse; 0: none yet
+        self.aliases: dict[tuple, tuple] = {}
+        self.retry_after = 0  # a come-back time for those whom limits refuse; 0: none yet
 
-    def tell(self, event: i.Allowed) -> None:
-        self.later = event.come_back
-        self.same.update(event.same)
+    def update(self, event: interface.LimitsUpdated) -> None:
+        self.retry_after = event.retry_after
+        self.aliases.update(event.aliases)
         for key, *row in event.rows:
             self.rows[key], self.used[key] = row, 0
 
-    def key(self, key: tuple) -> tuple:
-        key = self.same.get(key, key)
+    def resolve_key(self, key: tuple) -> tuple:
+        key = self.aliases.get(key, key)
         return key if key in self.rows else (key[0], None)
 
-    def left(self, key: tuple, now: int) -> float:
-        if not self.rows or (key := self.key(key)) not in self.rows:
+    def remaining(self, key: tuple, now: int) -> float:
+        if not self.rows or (key := self.resolve_key(key)) not in self.rows:
             return float("inf")
         always, more, until = self.rows[key]
         return always + (more if now < until else 0) - self.used[key]
 
-    def use(self, key: tuple) -> None:
-        if (key := self.key(key)) in self.rows:
+    def consume(self, key: tuple) -> None:
+        if (key := self.resolve_key(key)) in self.rows:
             self.used[key] += 1
--- a/basalthook/policy/records.py
+++ b/basalthook/policy/records.py
@@ -1,42 +1,51 @@
-"""What is kept of one host and of one transaction: fields alone, nothing is decided here."""
-
-from . import interface as i
-from .measure import Window
-
-
-class Server:
-    """What this proxy knows of one host; dropped when it has left the list and no hop is out."""
-
-    def __init__(self, line, span):
-        self.id, self.heard = line.host, 0
-        self.sent, self.committed = Window(span), Window(span)  # hops, and answers
-        self.passed, self.passed_by = 0, {}  # when the latest hop was sent that it answered; by profile
-        self.out = {}  # (tx, hop) -> server, sent at, late after; emptied as they end
-        self.size = 0.0  # capacity against other hosts'
-        self.shut = self.whole = 0  # by the fleet's verdict: kept away until, then a growing part until
-        self.luck, self.redraw = 0.0, 0  # while fresh: drawn anew once a fall time
-        self.renew(line)
-
-    def renew(self, line):
-        """A new process: what was learned of an earlier one is void."""
-        self.line, self.fresh_from, self.proven, self.doubted = line, line.started, True, False
+"""The state of one host and of one transaction: fields only, no decisions."""
+
+from . import interface
+from .measure import SlidingWindow
+
+
+class HostState:
+    """What this proxy knows of one host; dropped when it has left the list and has no open attempt."""
+
+    def __init__(self, entry, span):
+        self.id, self.last_answer = entry.host_id, 0
+        self.sent, self.committed = SlidingWindow(span), SlidingWindow(span)  # attempts; commits
+        # when the latest answered attempt was sent; the same by profile
+        self.answered_send, self.answered_by = 0, {}
+        self.attempts = {}  # open ones: (tx, attempt) -> host, sent at, late after; removed as they end
+        self.capacity = 0.0  # relative to other hosts
+        self.verdict_until = self.ramp_until = (
+            0  # fleet's verdict: shut out until; then a growing share until
+        )
+        self.admission_draw, self.next_draw_at = 0.0, 0  # while cold: a random number, once an overload_time
+        self.renew(entry)
+
+    def renew(self, entry):
+        """Reset for a new process: what was learned of the earlier one no longer holds."""
+        self.entry, self.cold_since, self.trusted, self.unlisted = entry, entry.started_at, True, False
         self.throttles = self.failures = 0
-        self.away = {}  # reason, or profile -> until when it is kept away; as many as there are
-        self.timeouts = {}  # by profile: a run of time-outs, and since when
-        self.strain, self.erring, self.erred_key = 1.0, 0.0, None
+        self.excluded_until = {}  # reason or profile index -> end of the exclusion; bounded by their number
+        self.timeouts = {}  # profile index -> time-outs in a row, and when the first was sent
+        self.slowdown, self.error_rate, self.last_error_key = 1.0, 0.0, None
 
 
-class Tx:
+class Transaction:
     def __init__(self, event, now, profile):
-        self.id, self.key, self.kind, self.profile = event.tx, event.key, event.profile, profile
-        self.groups = ("profile", event.profile), ("party", event.party)
-        self.hard_limit = now + event.patience
-        self.goal = min(self.hard_limit, now - event.waited + profile.service_goal)
-        self.state, self.tried, self.give_up, self.come_back = "waiting", [], self.goal, profile.service_goal
-        self.refusal = ""  # why it may get no attempt now: for the log
-        self.out, self.ran = {}, None  # hop -> (server, sent at); when and where it may first have run
+        self.id, self.key, self.profile_id, self.profile = event.tx, event.key, event.profile, profile
+        self.groups = ("profile", event.profile), ("tenant", event.tenant)
+        self.hard_limit = now + event.time_left
+        self.goal_at = min(self.hard_limit, now - event.unread_for + profile.service_goal)
+        self.state, self.tried, self.queue_until, self.retry_after = (
+            "waiting",
+            [],
+            self.goal_at,
+            profile.service_goal,
+        )
+        self.reason = ""  # why it gets no attempt now, for the log
+        # open ones: attempt -> (host, sent at); when and on which host entry it may first have run
+        self.attempts, self.first_run = {}, None
 
     @property
-    def grant(self):
-        """The key of what its next hop takes of the fleet's limits."""
-        return (i.FURTHER, None) if self.tried else (i.FIRST, self.kind)
+    def limit_key(self):
+        """The key of the fleet's limit that its next attempt counts against."""
+        return (interface.FURTHER_ATTEMPT, None) if self.tried else (interface.FIRST_ATTEMPT, self.profile_id)
--- a/basalthook/policy/rules.py
+++ b/basalthook/policy/rules.py
@@ -1,77 +1,95 @@
-"""The operators' rules for a request and an attempt: asked at the decision and again at the first byte."""
+"""The operators' rules for transactions and attempts: checked at the decision and again at the first byte."""
 
-from . import interface as i
+from . import interface
 
-COLD_KEYS = 2.5  # a fresh host knows no key: a hop may cost it several times what a warm one pays
-CONNECTED_LATE = 500  # after its decision: an attempt that begins so late counts anew in a slow start
+COLD_KEY_COST = 2.5  # an attempt at a host with no warm keys may cost several times what it costs a warm one
+LATE_START = 500  # ticks after its decision: an attempt that begins later is counted again in a slow start
 
 
 class Rules:
-    """Deadline, attempts, repeats, placement, drains, slow start and the fleet's limits."""
+    """Deadline, number of attempts, repeats, placement, drains, slow start and the fleet's limits."""
 
-    def goes_on(self, tx):
-        if self.now >= tx.hard_limit or len(tx.tried) >= self.terms.max_hops or tx.state == "done" or tx.out:
+    def may_attempt(self, tx):
+        if (
+            self.now >= tx.hard_limit
+            or len(tx.tried) >= self.settings.max_attempts
+            or tx.state == "done"
+            or tx.attempts
+        ):
             return False
-        return self.repeatable(tx)
+        return self.may_repeat(tx)
 
-    def repeatable(self, tx):
-        """Whether a further attempt now is known to have no second effect."""
+    def may_repeat(self, tx):
+        """Whether a further attempt now is certain to have no second effect."""
         return (
-            tx.profile.kind == i.IDEMPOTENT
-            or not tx.ran
-            or (tx.profile.kind == i.JOURNALLED and self.now < tx.ran[0] + tx.profile.repeat_window)
+            tx.profile.kind == interface.IDEMPOTENT
+            or not tx.first_run
+            or (
+                tx.profile.kind == interface.JOURNALLED
+                and self.now < tx.first_run[0] + tx.profile.repeat_window
+            )
         )
 
-    def refusal(self, now, tx_id, host):
-        """Why an attempt decided earlier may not begin any more; None if it may, and it counts as begun.
+    def start_refusal(self, now, tx_id, host_id):
+        """Why an attempt decided on earlier may no longer begin; None if it may, and then it counts as begun.
 
-        Asked right before its first byte goes out.
+        Called right before its first byte is sent.
         """
-        tx, server, self.now = self.txs.get(tx_id), self.servers.get(host), now
-        if tx is None or tx.state != "out":
-            return i.REQUEST_OVER
+        tx, host, self.now = self.txs.get(tx_id), self.hosts.get(host_id), now
+        if tx is None or tx.state != "in flight":
+            return interface.REQUEST_OVER
         if now >= tx.hard_limit:
-            return i.OUT_OF_TIME
-        if server is None or not server.line.ready:
-            return i.ENDPOINT_LEAVING
-        if not self.repeatable(tx):
-            return i.REPEAT_NOT_ALLOWED
-        if not self.open_to(tx, server.line):
-            return i.PLACEMENT
-        if server.fresh_from is not None and any(now - at > CONNECTED_LATE for _, at in tx.out.values()):
-            server.sent.add(now)  # its window moved while the connection came up
+            return interface.OUT_OF_TIME
+        if host is None or not host.entry.ready:
+            return interface.ENDPOINT_LEAVING
+        if not self.may_repeat(tx):
+            return interface.REPEAT_NOT_ALLOWED
+        if not self.is_eligible(tx, host.entry):
+            return interface.PLACEMENT
+        if host.cold_since is not None and any(now - at > LATE_START for _, at in tx.attempts.values()):
+            host.sent.add(now)  # its window moved on while the connection was being set up
         return None
 
-    def open_to(self, tx, line):
-        """Drains; placement: a bound profile goes to the named zones and kinds only; and repeat groups."""
-        profile, ran = tx.profile, tx.ran[1] if tx.ran and tx.profile.kind == i.JOURNALLED else line
+    def is_eligible(self, tx, entry):
+        """Whether drains, the profile's placement (zones, host kinds) and its repeat group allow it."""
+        profile, first_run = (
+            tx.profile,
+            tx.first_run[1] if tx.first_run and tx.profile.kind == interface.JOURNALLED else entry,
+        )
         return (
-            line.ready
-            and (profile.zones is None or line.zone in profile.zones)
-            and (profile.host_kinds is None or line.kind in profile.host_kinds)
-            and {i.ZONE: line.zone == ran.zone, i.CELL: line.cell == ran.cell}.get(profile.group, True)
+            entry.ready
+            and (profile.zones is None or entry.zone in profile.zones)
+            and (profile.host_kinds is None or entry.kind in profile.host_kinds)
+            and {
+                interface.ZONE: entry.zone == first_run.zone,
+                interface.CELL: entry.cell == first_run.cell,
+            }.get(profile.group, True)
         )
 
-    def admits(self, tx, server):
-        """Whether this host may have it, if it may have a hop: a fresh one its share in a fall time. Under a
-        hop luck decides, where a hop of each proxy would be too much: a line at hundreds pushes it over."""
-        free = self.allowed.left((i.AT_HOST, server.id), self.now) > len(server.out) and (
-            self.allowed.left(tx.grant, self.now) > 0 and self.open_to(tx, server.line)
+    def admits(self, tx, host):
+        """Whether this host may take it: limits, rules, and for a cold host its share in each overload_time.
+
+        A share below one attempt is met by chance: one attempt of each of hundreds of proxies overloads it.
+        """
+        free = self.allowance.remaining((interface.PER_HOST, host.id), self.now) > len(host.attempts) and (
+            self.allowance.remaining(tx.limit_key, self.now) > 0 and self.is_eligible(tx, host.entry)
         )
-        if server.fresh_from is None or not free:
+        if host.cold_since is None or not free:
             return free
-        if self.now >= server.redraw:
-            server.luck, server.redraw = self.chance.random(), self.now + self.terms.fall_time
-        most = self.usual_rate * server.size * self.warmth(server) / self.processes
-        return server.sent.count(self.now) < (
-            max(1.0, most) if most * self.terms.fall_multiple >= 1.0 else int(most + server.luck)
+        if self.now >= host.next_draw_at:
+            host.admission_draw, host.next_draw_at = self.rng.random(), self.now + self.settings.overload_time
+        expected = self.commit_rate * host.capacity * self.warm_share(host) / self.processes
+        return host.sent.count(self.now) < (
+            max(1.0, expected)
+            if expected * self.settings.overload_factor >= 1.0
+            else int(expected + host.admission_draw)
         )
 
-    def warmth(self, server):
-        """The share that it can carry for sure, a fresh one without knowing a key."""
-        if server.fresh_from is None or self.now >= server.fresh_from + self.terms.cold_time:
-            server.fresh_from = None
+    def warm_share(self, host):
+        """The share of its capacity that a host can surely carry now, when cold without any warm key."""
+        if host.cold_since is None or self.now >= host.cold_since + self.settings.slow_start_time:
+            host.cold_since = None
             return 1.0
-        age = max(0, self.now - server.fresh_from) / self.terms.cold_time
-        share = self.terms.cold_share + (1.0 - self.terms.cold_share) * age
-        return share * min(1.0, self.terms.fall_multiple / COLD_KEYS)
+        age = max(0, self.now - host.cold_since) / self.settings.slow_start_time
+        share = self.settings.slow_start_share + (1.0 - self.settings.slow_start_share) * age
+        return share * min(1.0, self.settings.overload_factor / COLD_KEY_COST)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -55,7 +55,7 @@
         self.told, self.log, self.early, self.ending = told, log, early, asyncio.Event()
         self.handover: Handover | None = None
         self.clock = clock = Clock()
-        roster = Roster(told.agreed.only_draining_binds, Starts(clock.now))
+        roster = Roster(told.agreed.use_unlisted, Starts(clock.now))
         self.timers = timers = Timers(clock.now, TICKS)
         self.reload = Reload(reread, self.take, timers, log.say)
         buffers, descriptors = BufferPool(BUFFER, BUFFERS_KEPT), Descriptors(self.sockets(told))
@@ -69,7 +69,7 @@
         door = Door(min(p.service_goal for p in told.agreed.profiles), Random(told.seed ^ DOOR))
         self.pool = HostPool(buffers, descriptors, timers, told.idle_seconds, told.connect_seconds)
         self.attempts = Attempts(self.pool, clock, timers, roster, self.owner, log.say)
-        following = Following(told.agreed, self.owner.proxy.chance)
+        following = Following(told.agreed, self.owner.proxy.rng)
         self.watch = Watch(
             told.discovery, told.known.version, following, self.owner, buffers, descriptors, timers, log.say
         )
@@ -118,7 +118,7 @@
                 timers,
                 clock,
                 names,
-                told.agreed.fall_time,
+                told.agreed.overload_time,
                 Here(self.accept, self.share),
                 log.say,
             )
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -8,7 +8,7 @@
 import orjson
 
 from .. import terms
-from ..policy import interface as i
+from ..policy import interface
 from ..protocol import catalogue
 
 
@@ -19,7 +19,7 @@
     seed: int
     sockets: int
     bodies_most: int  # bytes of requests' long bodies that are held at a time
-    agreed: i.Agreement
+    agreed: interface.PolicySettings
     profiles: dict[str, int]
     connect_seconds: float
     idle_seconds: float
@@ -80,18 +80,18 @@
 
 def _decode(told: dict, environ, fleet) -> StartUp:
     setup, allowed = told["settings"], told["settings"]["allowed"]
-    agreed = terms.agreement(setup)
-    if fleet is not None and not agreed.peers:
+    agreed = terms.policy_settings(setup)
+    if fleet is not None and not agreed.peer_reports:
         raise ValueError(
             "settings.allowed.peers: this deployment allows no messages among proxies, "
             "and a fleet file is named"
         )
-    agreed = agreed._replace(peers=False)  # news of the simulator's kind are not carried here
+    agreed = agreed._replace(peer_reports=False)  # news of the simulator's kind are not carried here
     name = str(told.get("name") or environ.get("RELAY_NAME") or "proxy")
     if fleet is not None and not fleet.name and not NAME.fullmatch(name):
         raise ValueError(f"name: {name!r} is no name of a member; the fleet file may give another")
     if fleet is not None:
-        fleet.bounds(terms.profiles(setup))  # a limit of a profile that there is none of
+        fleet.bounds(terms.profile_indices(setup))  # a limit of a profile that there is none of
     listed = told.get("known") or {"version": 0, "full": True, "servers": []}
     known = catalogue.listing(listed)
     if known is None:
@@ -108,7 +108,7 @@
         sockets=min(ours, int(told.get("limits", {}).get("sockets") or ours)),
         bodies_most=int(max(4, memory - OWN) * 2**20 * BODIES),
         agreed=agreed,
-        profiles=terms.profiles(setup),
+        profiles=terms.profile_indices(setup),
         connect_seconds=allowed["connect_timeout_ns"] / 1e9,
         idle_seconds=allowed.get("keepalive_ns", 0) / 1e9,
         longest_patience=max(p["hard_limit_ns"] for p in setup["profiles"]) / 1e9,
--- a/basalthook/protocol/hosts.py
+++ b/basalthook/protocol/hosts.py
@@ -1,6 +1,6 @@
 """A hop on the wire: the message that goes to a host, and what its answer means."""
 
-from ..policy import interface as i
+from ..policy import interface
 from .application import PER_HOP
 from .http1 import Message
 
@@ -27,9 +27,10 @@
 def outcome(answer: Message, written: bool) -> str:
     """What an answer proves. One that came before the whole hop was written can't be a commit."""
     if answer.status in (503, 504) and answer.field("not-started") == "1":
-        return i.REFUSED
+        return interface.REFUSED
     if answer.status == 200:
-        return i.COMMITTED if written else i.ERROR
+        return interface.COMMITTED if written else interface.ERROR
     if written and 400 <= answer.status < 500 and answer.status not in MAY_PASS:
-        return i.DECLINED  # guards against blaming hosts, and asking further ones, for a bad transaction
-    return i.ERROR
+        # guards against blaming hosts, and asking further ones, for a bad transaction
+        return interface.DECLINED
+    return interface.ERROR
--- a/basalthook/protocol/news.py
+++ b/basalthook/protocol/news.py
@@ -1,9 +1,9 @@
 """News among proxies: one fact of one host a message, in seven bytes. Malformed ones are nothing."""
 
-from ..policy import interface as i
+from ..policy import interface
 
 LENGTH = 7
-CODES = {i.MET_FAULT: 1, i.AT_FAULT: 2}
+CODES = {interface.FAULT_SEEN: 1, interface.FAULT_CONFIRMED: 2}
 WORDS = {code: word for word, code in CODES.items()}
 
 
--- a/basalthook/recovery/following.py
+++ b/basalthook/recovery/following.py
@@ -2,11 +2,12 @@
 often to try again. Pure: waits go out, nothing is waited for here.
 
 Whatever discovery has to tell binds at a stated time, whether or not it arrived, so each wait below is a part
-of what is left then. Names are those of `Agreement`; L is the longest grace for silence, `SILENT` + `grace`:
+of what is left then. Names are those of `PolicySettings`; L is the longest grace for silence,
+`SILENT` + `drain_grace`:
 
-    a call's wait               ask_within x (1 to 2), each proxy its own part: the fleet's calls never
-                                fall together again after a change that answers them all at once. Of a
-                                new process, and after trouble: `WAIT_AFTER`, ask_within / 4 at most,
+    a call's wait               list_poll_interval x (1 to 2), each proxy its own part: the fleet's calls
+                                never fall together again after a change that answers them all at once. Of a
+                                new process, and after trouble: `WAIT_AFTER`, list_poll_interval / 4 at most,
                                 doubled by each answer
     silent                      no answer L / 5 past a call's wait, or after a connection was begun
     beside it, not in its place another connection asks what has changed since, at once (a wait of 0); a third
@@ -25,19 +26,19 @@
       where the list is pushed, and at first where an open watch broke, as news may have been lost with it:
         grace / 8, then / 4 and / 2; where discovery turns callers away, or for the latter, `FLEET_PACE` for
         each proxy if that is longer, `RETRY_MOST` at most
-      else, and after these: ask_within / 4, `RETRY_MOST` at most. However long discovery has been away, its
-      news counts at a fixed time after it is back
+      else, and after these: list_poll_interval / 4, `RETRY_MOST` at most. However long discovery has been
+      away, its news counts at a fixed time after it is back
 """
 
 from random import Random
 
-from ..policy import interface as i
+from ..policy import interface
 
 SILENT = 20_000  # tenths of a millisecond past a call's wait: by then its news counts as told
 WAIT_MOST = 600_000  # discovery waits no longer: a longer one would be taken for silent too late
 FIRST_MOST = 35_000  # until the first call of a new process: a second one must fit in 6 s
 WAIT_AFTER = 20_000  # the first wait of a process, or after a failure or silence; each answer doubles it, ...
-PARTS_OF_ASKING = 4  # of ask_within, for that first wait: a change may count so long after it was made
+PARTS_OF_ASKING = 4  # of list_poll_interval, for that first wait: a change counts so long after it was made
 WAITS_GROW = 5  # ... so often at most: news of the call after a broken one counts sooner
 PARTS = 5  # of what is left until the grace is over; calls beside begin after 1, 2 and 4 of them
 PUSHED_PARTS = 4  # of the grace; a call for pushed news that is there already gets another after one
@@ -55,7 +56,7 @@
 
 
 class Following:
-    def __init__(self, settings: i.Agreement, random: Random) -> None:
+    def __init__(self, settings: interface.PolicySettings, random: Random) -> None:
         self.settings, self.random = settings, random
         self.pushed = not settings.list_on_request
         self.failures = 0  # since the last answer
@@ -72,13 +73,13 @@
 
     def first_delay(self) -> int:
         """Before the first call: pushed news counts from the first moment on."""
-        return 0 if self.pushed else int(min(self.settings.ask_within / 2, FIRST_MOST) * self.part())
+        return 0 if self.pushed else int(min(self.settings.list_poll_interval / 2, FIRST_MOST) * self.part())
 
     def watch_wait(self) -> int:
-        usual = min(WAIT_MOST, int(self.settings.ask_within * (1 + self.part())))
+        usual = min(WAIT_MOST, int(self.settings.list_poll_interval * (1 + self.part())))
         if self.answers is None:
             return usual
-        first = min(WAIT_AFTER, self.settings.ask_within // PARTS_OF_ASKING)
+        first = min(WAIT_AFTER, self.settings.list_poll_interval // PARTS_OF_ASKING)
         return min(usual, int(first * 2 ** min(self.answers, WAITS_GROW) * (1 + self.part())))
 
     def silent_after(self, calls: int, at_once: bool = False) -> int:
@@ -86,10 +87,10 @@
 
         `at_once`: it asked for what is there already, and pushed news of that counts already.
         """
-        usual = (SILENT + self.settings.grace) // PARTS * (1, 1, 2)[min(calls, 3) - 1]
+        usual = (SILENT + self.settings.drain_grace) // PARTS * (1, 1, 2)[min(calls, 3) - 1]
         if not (at_once and self.pushed):
             return usual
-        return min(usual, max(self.settings.grace // PUSHED_PARTS, self.settings.proxies * FLEET_PACE))
+        return min(usual, max(self.settings.drain_grace // PUSHED_PARTS, self.settings.proxies * FLEET_PACE))
 
     @property
     def urgent(self) -> bool:
@@ -122,7 +123,7 @@
             return int(min(URGENT_FIRST * URGENT_GROWTH**made, URGENT_MOST) * part)
         if self.pushed or self.failures <= SOON_TRIES and not turned_away:
             return max(LEAST, int(max(self._soon(self.failures), self._crowd(turned_away)) * part))
-        return int(min(self.settings.ask_within / 4, RETRY_MOST) * part)
+        return int(min(self.settings.list_poll_interval / 4, RETRY_MOST) * part)
 
     def beside_delay(self, others: int, failed: int, turned_away: bool) -> int:
         """Ticks until another call beside `others` that have no answer yet, as one has failed.
@@ -137,7 +138,7 @@
 
     def _soon(self, failures: int) -> float:
         """Within the grace, as news may have been in an answer that was lost, which counts as told."""
-        return self.settings.grace / 2 ** max(1, SOON_TRIES + 1 - failures)
+        return self.settings.drain_grace / 2 ** max(1, SOON_TRIES + 1 - failures)
 
     def _crowd(self, turned_away: bool) -> float:
         """By the size of the fleet: all its proxies call again at once where discovery has reset them all."""
@@ -159,16 +160,16 @@
 
     def ask(self, wait: int) -> list:
         self.call_due = True
-        return [i.SetTimer(wait, MARK)]
+        return [interface.SetTimer(wait, MARK)]
 
     def handle(self, now: int, event, seen: int | None = None) -> list:
         kind = type(event)
-        if kind is i.ListFailed:  # it may also mean that the watch broke
+        if kind is interface.HostListFailed:  # it may also mean that the watch broke
             return [] if self.following.pushed else self.ask(self.following.retry_delay(turned_away=True))
-        if kind is i.TimerDue and event.mark == MARK:
+        if kind is interface.TimerDue and event.timer_id == MARK:
             call_due, self.call_due = self.call_due, False
-            return [i.WatchList()] if call_due else []
-        if kind is i.HostsListed and event.answered:
+            return [interface.RequestHostList()] if call_due else []
+        if kind is interface.HostListReceived and event.from_discovery:
             self.call_due = False
             self.following.answered()
         return self.policy.handle(now, event, seen)
--- a/basalthook/recovery/knowledge.py
+++ b/basalthook/recovery/knowledge.py
@@ -5,12 +5,26 @@
 for each `fade` that has passed since. A host that has started anew is known by its list line alone.
 """
 
-from ..policy.interface import HostsListed
-from ..policy.measure import Window
+from ..policy.interface import HostListReceived
+from ..policy.measure import SlidingWindow
 
-WHOLE = ("quiet_mix", "usual_rate", "cores", "unread")  # as they were
-OF_LATENCY = ("mean", "deviation", "quiet", "level")
-OF_SERVER = ("size", "proven", "throttles", "failures", "heard", "passed", "erring")
+# stored name -> attribute
+WHOLE = {  # as they were
+    "quiet_mix": "base_latency",
+    "usual_rate": "commit_rate",
+    "cores": "load",
+    "unread": "unread_delay",
+}
+OF_LATENCY = {"mean": "mean", "deviation": "deviation", "quiet": "base", "level": "slow_mean"}
+OF_SERVER = {
+    "size": "capacity",
+    "proven": "trusted",
+    "throttles": "throttles",
+    "failures": "failures",
+    "heard": "last_answer",
+    "passed": "answered_send",
+    "erring": "error_rate",
+}
 WINDOWS = ("sent", "committed")
 
 
@@ -18,32 +32,34 @@
     """`ids`: hosts' ids by number; `profiles`: names by index. Of hosts with no id nothing is told."""
     return {
         "at": proxy.now,
-        "born": proxy.born,
-        "strain": proxy.strain,
+        "born": proxy.started,
+        "strain": proxy.slowdown,
         "sent": list(proxy.sent.times),
-        **{name: getattr(proxy, name) for name in WHOLE},
+        **{name: getattr(proxy, attribute) for name, attribute in WHOLE.items()},
         "latency": {
-            name: [getattr(known, field) for field in OF_LATENCY]
+            name: [getattr(known, attribute) for attribute in OF_LATENCY.values()]
             for name, known in zip(profiles, proxy.latency, strict=True)
         },
         "hosts": {
             ids[number]: server_told(server, profiles)
-            for number, server in proxy.servers.items()
-            if number in ids and server.line.ready
+            for number, server in proxy.hosts.items()
+            if number in ids and server.entry.ready
         },
     }
 
 
 def server_told(server, profiles: list[str]) -> dict:
     return {
-        **{name: getattr(server, name) for name in OF_SERVER},
+        **{name: getattr(server, attribute) for name, attribute in OF_SERVER.items()},
         **{name: list(getattr(server, name).times) for name in WINDOWS},
-        "started": server.line.started,
-        "fresh_from": server.fresh_from,
-        "strain": server.strain,
-        "away": {reason: until for reason, until in server.away.items() if isinstance(reason, str)},
+        "started": server.entry.started_at,
+        "fresh_from": server.cold_since,
+        "strain": server.slowdown,
+        "away": {reason: until for reason, until in server.excluded_until.items() if isinstance(reason, str)},
         "away_for": {
-            profiles[kind]: until for kind, until in server.away.items() if not isinstance(kind, str)
+            profiles[kind]: until
+            for kind, until in server.excluded_until.items()
+            if not isinstance(kind, str)
         },
     }
 
@@ -54,37 +70,37 @@
     ValueError, TypeError, KeyError or AttributeError: it is not sound; the proxy may hold a part of it.
     """
     left = 0.5 ** max(0.0, min(64.0, (now - int(known["at"])) / fade))
-    proxy.born = min(now, int(known["born"]))
-    proxy.strain = 1.0 + (float(known["strain"]) - 1.0) * left
-    for name in WHOLE:
-        setattr(proxy, name, max(0.0, float(known[name])))
+    proxy.started = min(now, int(known["born"]))
+    proxy.slowdown = 1.0 + (float(known["strain"]) - 1.0) * left
+    for name, attribute in WHOLE.items():
+        setattr(proxy, attribute, max(0.0, float(known[name])))
     proxy.sent.times.extend(times(known["sent"], now))
     for name, latency in zip(profiles, proxy.latency, strict=True):
-        for field, value in zip(OF_LATENCY, known["latency"].get(name, ()), strict=False):
+        for field, value in zip(OF_LATENCY.values(), known["latency"].get(name, ()), strict=False):
             setattr(latency, field, max(0.0, float(value)))
     fitted = 0
     for host, plain in known["hosts"].items():
-        server = proxy.servers.get(numbers.get(host, -1))
-        if server is not None and server.line.started == plain["started"]:
+        server = proxy.hosts.get(numbers.get(host, -1))
+        if server is not None and server.entry.started_at == plain["started"]:
             server_taken_over(server, plain, profiles, now, left)
             fitted += 1
-    proxy.handle(now, HostsListed((), False, False))  # ranks by what it now knows
+    proxy.handle(now, HostListReceived((), False, False))  # ranks by what it now knows
     return fitted
 
 
 def server_taken_over(server, plain: dict, profiles: list[str], now: int, left: float) -> None:
-    for name in OF_SERVER:
-        setattr(server, name, type(getattr(server, name))(plain[name]))
+    for name, attribute in OF_SERVER.items():
+        setattr(server, attribute, type(getattr(server, attribute))(plain[name]))
     for name in WINDOWS:
-        window: Window = getattr(server, name)
+        window: SlidingWindow = getattr(server, name)
         window.times.extend(times(plain[name], now))
-    server.fresh_from = None if plain["fresh_from"] is None else int(plain["fresh_from"])
-    server.strain = 1.0 + (float(plain["strain"]) - 1.0) * left
+    server.cold_since = None if plain["fresh_from"] is None else int(plain["fresh_from"])
+    server.slowdown = 1.0 + (float(plain["strain"]) - 1.0) * left
     away = {
         **plain["away"],
         **{profiles.index(name): until for name, until in plain["away_for"].items() if name in profiles},
     }
-    server.away = {reason: int(until) for reason, until in away.items() if until > now}
+    server.excluded_until = {reason: int(until) for reason, until in away.items() if until > now}
 
 
 def times(told: list, now: int) -> list[int]:
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from ..bodies.relay import Relay
-from ..policy import interface as i
+from ..policy import interface
 from ..protocol import hosts
 from ..protocol.http1 import Malformed, Message, Parser
 from ..transport.connection import ENDED, Connection, Fault, Stage
@@ -64,7 +64,7 @@
         """Guards against blaming a host for our own lateness: an answer that is here counts."""
         if self.stage >= Stage.WRITTEN and self.connection is not None:
             self.connection.receive()
-        self.stop(i.TIMED_OUT)
+        self.stop(interface.TIMED_OUT)
 
     def begin(self) -> None:
         connection = self.attempts.pool.kept_one(self.place.door)
@@ -93,7 +93,7 @@
             return
         if refusal is not None:
             self.refusal = refusal
-            self.stopped, self.stage = i.UNSENT, Stage.UNTRIED
+            self.stopped, self.stage = interface.UNSENT, Stage.UNTRIED
             self.keep()
             return self.finish(None)
         self.stage = Stage.WRITING
@@ -141,9 +141,9 @@
         late += connection.noticed_late // TICK if not self.reused else 0
         relay = Relay(connection, self.answer, attempts.timers, lambda kept: pool.keep(kept, door))
         elapsed = max(0, attempts.clock.now() - late - self.begun)
-        attempts.outcomes[i.COMMITTED] += 1
+        attempts.outcomes[interface.COMMITTED] += 1
         attempts.owner.post(
-            AttemptOver(self.order, self.index, self.host, i.COMMITTED, elapsed, late, begun, relay)
+            AttemptOver(self.order, self.index, self.host, interface.COMMITTED, elapsed, late, begun, relay)
         )
         if relay.client is None:  # nobody waits for it
             relay.stop()
@@ -175,7 +175,7 @@
         outcome, message = attempts.outcome(self, found), found if isinstance(found, Message) else None
         elapsed = max(0, attempts.clock.now() - late - self.begun)
         attempts.outcomes[outcome] += 1
-        if outcome == i.COMMITTED:
+        if outcome == interface.COMMITTED:
             attempts.sparingly(
                 "attempt",
                 tx=self.order.asked.id,
@@ -207,7 +207,7 @@
                 outcome,
                 elapsed,
                 late,
-                message if outcome in (i.COMMITTED, i.DECLINED) else None,
+                message if outcome in (interface.COMMITTED, interface.DECLINED) else None,
             )
         )
 
@@ -226,7 +226,7 @@
         """What ends at once is told to the owner after this has returned: the owner is at an event now."""
         attempt = Attempt(self, order, index, host, place, self.clock.now(), limit)
         if over:
-            attempt.stop(i.UNSENT)
+            attempt.stop(interface.UNSENT)
         else:
             attempt.timer = self.timers.set(limit, attempt.expire)
             attempt.begin()
@@ -240,7 +240,14 @@
         if attempt.stopped is not None and written:
             return attempt.stopped
         if attempt.stopped is not None or attempt.stage == Stage.UNTRIED:
-            return i.UNSENT
+            return interface.UNSENT
         if isinstance(found, Malformed) and written:
-            return i.ERROR  # guards against taking a host that answers, if badly, for one that is gone
-        return i.RESET if written else i.DROPPED if attempt.stage == Stage.WRITING else i.UNREACHABLE
+            # guards against taking a host that answers, if badly, for one that is gone
+            return interface.ERROR
+        return (
+            interface.RESET
+            if written
+            else interface.DROPPED
+            if attempt.stage == Stage.WRITING
+            else interface.UNREACHABLE
+        )
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -383,7 +383,7 @@
         self.buffers, self.descriptors = buffers, descriptors
         descriptors.givers.append(lambda: self.close_idle(1))
         self.last_answer = NO_END  # once this process ends: the moment of its last answer
-        self.ready, self.come_back_most = False, owner.agreed.come_back_max
+        self.ready, self.come_back_most = False, owner.agreed.max_retry_after
         self.sending_away = None  # while drained by the staff: the next look at who is here
         self.sweeping = False
         self.ids: set[str] = set()  # of transactions not yet answered
--- a/basalthook/routing/owner.py
+++ b/basalthook/routing/owner.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from .. import terms
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol.application import Asked
 from ..protocol.catalogue import Listing
@@ -99,7 +99,14 @@
     """
 
     def __init__(
-        self, agreed: i.Agreement, seed: int, clock: Clock, timers: Timers, roster: Roster, behind, say
+        self,
+        agreed: interface.PolicySettings,
+        seed: int,
+        clock: Clock,
+        timers: Timers,
+        roster: Roster,
+        behind,
+        say,
     ) -> None:
         self.agreed, self.clock, self.timers, self.roster, self.say = agreed, clock, timers, roster, say
         self.behind = behind
@@ -128,7 +135,7 @@
 
     def due(self, mark: int) -> None:
         """A timer of the decisions; told before what waits in the queue."""
-        self.queue.appendleft(i.TimerDue(mark))
+        self.queue.appendleft(interface.TimerDue(mark))
         if not self.running:
             self.pump()
 
@@ -159,7 +166,9 @@
         key, patience = order.asked.key, max(0, order.hard_limit - self.clock.now())
         waited = max(0, self.clock.now() - order.came)
         self.decide(
-            i.TxArrived(number, order.asked.profile, terms.number(key) if key else None, patience, waited)
+            interface.TxArrived(
+                number, order.asked.profile, terms.stable_number(key) if key else None, patience, waited
+            )
         )
 
     def gone(self, item: Gone) -> None:
@@ -173,7 +182,7 @@
     def end(self, order: Order, answer: Answer | None) -> None:
         if not order.closed:
             order.close(answer)
-            self.decide(i.TxGone(order.number))
+            self.decide(interface.ClientDisconnected(order.number))
             self.forget(order)
 
     def attempt_over(self, item: AttemptOver) -> None:
@@ -183,7 +192,7 @@
         if item.message is not None and not order.closed:
             order.close(Answer(item.outcome, item.message, 0, item.relay))
         self.decide(
-            i.HopEnded(
+            interface.AttemptEnded(
                 order.number, item.attempt, item.host, item.outcome, item.elapsed, order.closed, item.waited
             )
         )
@@ -191,7 +200,7 @@
 
     def listed(self, item: Listed) -> None:
         self.decide(self.roster.told(item.listing, item.answered))
-        self.roster.let_go(self.proxy.servers)
+        self.roster.let_go(self.proxy.hosts)
         if changes := self.roster.changes:
             self.say(
                 "endpoints",
@@ -210,10 +219,10 @@
         AttemptOver: attempt_over,
         Listed: listed,
         Ordered: ordered,
-        Shared: lambda self, item: self.decide(i.Shared(item.processes)),
-        i.TimerDue: decide,
-        i.Judged: decide,
-        i.Allowed: decide,
+        Shared: lambda self, item: self.decide(interface.ProcessCount(item.processes)),
+        interface.TimerDue: decide,
+        interface.HostVerdicts: decide,
+        interface.LimitsUpdated: decide,
     }
 
     def forget(self, order: Order) -> None:
@@ -226,27 +235,27 @@
         for effect in effects:
             self.GIVES[type(effect)](self, effect)
 
-    def send(self, effect: i.SendHop) -> None:
+    def send(self, effect: interface.SendAttempt) -> None:
         order = self.orders[effect.tx]
         limit = min(effect.time_limit, order.hard_limit - self.clock.now())
-        over = order.closed or limit <= 0 or len(order.attempts) >= self.agreed.max_hops
+        over = order.closed or limit <= 0 or len(order.attempts) >= self.agreed.max_attempts
         place = self.roster.attempt_begun(effect.host)
         order.attempts.append(self.begin_attempt(order, len(order.attempts), effect.host, place, limit, over))
 
     def refusal(self, order: Order, host: int) -> str | None:
         """Why an attempt decided earlier may not send its first byte now; None if it may."""
         if order.closed:
-            return i.REQUEST_OVER
+            return interface.REQUEST_OVER
         if not self.roster.ready(host):
-            return i.ENDPOINT_LEAVING
+            return interface.ENDPOINT_LEAVING
         if order.left():
-            return i.CLIENT_GONE
-        return self.proxy.refusal(self.clock.now(), order.number, host)
+            return interface.CLIENT_GONE
+        return self.proxy.start_refusal(self.clock.now(), order.number, host)
 
-    def roll_back(self, effect: i.RollBack) -> None:
-        self.answer(effect.tx, Answer("rolled back", None, effect.come_back, reason=effect.reason))
+    def roll_back(self, effect: interface.RollBack) -> None:
+        self.answer(effect.tx, Answer("rolled back", None, effect.retry_after, reason=effect.reason))
 
-    def abandon(self, effect: i.Abandon) -> None:
+    def abandon(self, effect: interface.Abandon) -> None:
         self.answer(effect.tx, Answer("abandoned", reason=effect.reason))
 
     def answer(self, tx: int, answer: Answer) -> None:
@@ -254,18 +263,18 @@
             self.orders[tx].close(answer)
             self.forget(self.orders[tx])
 
-    def cancel(self, effect: i.CancelHop) -> None:
+    def cancel(self, effect: interface.CancelAttempt) -> None:
         order = self.orders.get(effect.tx)
-        if order is not None and order.attempts[effect.hop] is not None:
-            order.attempts[effect.hop].stop(i.CANCELLED)
+        if order is not None and order.attempts[effect.attempt] is not None:
+            order.attempts[effect.attempt].stop(interface.CANCELLED)
 
-    def set_timer(self, effect: i.SetTimer) -> None:
-        self.timers.set(effect.delay, self.due, effect.mark)
+    def set_timer(self, effect: interface.SetTimer) -> None:
+        self.timers.set(effect.delay, self.due, effect.timer_id)
 
     GIVES = {
-        i.SendHop: send,
-        i.RollBack: roll_back,
-        i.Abandon: abandon,
-        i.CancelHop: cancel,
-        i.SetTimer: set_timer,
+        interface.SendAttempt: send,
+        interface.RollBack: roll_back,
+        interface.Abandon: abandon,
+        interface.CancelAttempt: cancel,
+        interface.SetTimer: set_timer,
     }
--- a/basalthook/routing/roster.py
+++ b/basalthook/routing/roster.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from .. import terms
-from ..policy import interface as i
+from ..policy import interface
 from ..protocol.catalogue import Line, Listing
 from .orders import Orders
 from .starts import Starts
@@ -35,11 +35,13 @@
         self.changes: dict[str, list[str]] = {}  # by the newest list: kind of change -> ids of endpoints
         self.left = lambda door: None  # told of the doors of hosts that have left
 
-    def told(self, listing: Listing, answered: bool) -> i.HostsListed:
+    def told(self, listing: Listing, answered: bool) -> interface.HostListReceived:
         """Take a list in and turn it into the decisions' event."""
         self.changes = {}
-        event = i.HostsListed(tuple(self._line(line) for line in listing.lines), listing.complete, answered)
-        named = {line.host for line in event.hosts}
+        event = interface.HostListReceived(
+            tuple(self._line(line) for line in listing.lines), listing.complete, answered
+        )
+        named = {line.host_id for line in event.hosts}
         removed = {self.numbers[line.id] for line in listing.lines if line.removed}
         if listing.complete:
             removed |= self.places.keys() - named
@@ -48,10 +50,12 @@
             self.starts.answered()
         return event
 
-    def ordered(self, hosts: set[str]) -> i.HostsListed:
+    def ordered(self, hosts: set[str]) -> interface.HostListReceived:
         """The lines of these hosts again, as the staff's orders now have them."""
         numbers = [self.numbers[host] for host in sorted(hosts) if host in self.numbers]
-        event = i.HostsListed(tuple(self._line(self.places[n].line) for n in numbers), False, False)
+        event = interface.HostListReceived(
+            tuple(self._line(self.places[n].line) for n in numbers), False, False
+        )
         for number in numbers:
             if self.orders.out(self.places[number].id):
                 self.left(self.places[number].door)  # it is about to be restarted
@@ -86,19 +90,19 @@
     def ready(self, number: int) -> bool:
         return number in self.places and self.places[number].ready
 
-    def _line(self, told: Line) -> i.Host:
+    def _line(self, told: Line) -> interface.HostEntry:
         line = self.orders.over(told)
         number = self.numbers.get(line.id)
         if number is None:
             number = self.numbers[line.id] = self.next
             self.next += 1
         known = self.places.get(number)  # hashed once: lists may come often
-        mark = known.mark if known else terms.number(line.id)
+        mark = known.mark if known else terms.stable_number(line.id)
         ready = line.ready or line.removed and self.only_draining_binds and bool(known and known.ready)
         self._note(known, line, ready)
         self.places[number] = Place(line.id, line.address, ready, mark, told)
         started_ns = self.starts.started(line.id, line.started_ns) if self.starts else line.started_ns
-        return terms.host(
+        return terms.host_entry(
             number, mark, line.zone, line.cell, line.ready, line.weight, started_ns, line.kind, line.draining
         )
 
--- a/basalthook/routing/staff.py
+++ b/basalthook/routing/staff.py
@@ -28,14 +28,14 @@
         return Reply(200, "ready, and drained: clients are sent away" if self.clients.drained else "ready")
 
     def hosts(self, _: Call) -> Reply:
-        servers, orders = self.owner.proxy.servers, self.roster.orders
+        servers, orders = self.owner.proxy.hosts, self.roster.orders
         lines = [
             {
                 "id": place.id,
                 "address": ":".join(map(str, place.address)),
                 "ready": place.ready,
                 "out": orders.out(place.id),
-                "hops": len(servers[n].out) if n in servers else 0,
+                "hops": len(servers[n].attempts) if n in servers else 0,
             }
             for n, place in self.roster.places.items()
         ]
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -2,21 +2,21 @@
 
 from .. import terms
 from ..fleet.counting import Counting
-from ..policy import interface as i
+from ..policy import interface
 from ..policy.decide import Proxy
 from ..protocol import news
 from ..recovery.following import Asking, Following
-from ..terms import TENTH
+from ..terms import TICK_NS
 
 OUTCOMES = {
-    "success": i.COMMITTED,
-    "failure": i.ERROR,
-    "overloaded": i.REFUSED,
-    "timed_out": i.TIMED_OUT,
-    "unreachable": i.UNREACHABLE,
-    "broken": i.RESET,
-    "withdrawn": i.CANCELLED,
-    "void": i.UNSENT,
+    "success": interface.COMMITTED,
+    "failure": interface.ERROR,
+    "overloaded": interface.REFUSED,
+    "timed_out": interface.TIMED_OUT,
+    "unreachable": interface.UNREACHABLE,
+    "broken": interface.RESET,
+    "withdrawn": interface.CANCELLED,
+    "void": interface.UNSENT,
 }
 
 
@@ -24,9 +24,9 @@
     """One instance: its decisions, and its ids against the small numbers that stand for them."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
-        self.proxy = Proxy(terms.agreement(setup), seed, now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
-        self.profiles = terms.profiles(setup)
+        self.proxy = Proxy(terms.policy_settings(setup), seed, now)
+        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
+        self.profiles = terms.profile_indices(setup)
         self.hosts: dict[str, int] = {}  # grows with hosts ever listed, emptied at restart
         self.addresses: list[str] = []
         self.marks: list[int] = []  # of the same: hashed once, as lists come often
@@ -40,13 +40,13 @@
         if known is None:
             known = self.hosts[address] = len(self.addresses)
             self.addresses.append(address)
-            self.marks.append(terms.number(address))
+            self.marks.append(terms.stable_number(address))
             self.marked[self.marks[known]] = known
         return known
 
     def listed(self, records: list) -> tuple:
         return tuple(
-            terms.host(
+            terms.host_entry(
                 number,
                 self.marks[number],
                 r.get("area", ""),
@@ -78,81 +78,85 @@
             self.next += 1
             self.words[tx] = [f["corr"], 0, False]
             key, party = f.get("path_key"), f.get("party") or None
-            return i.TxArrived(
+            return interface.TxArrived(
                 tx,
                 self.profiles[f["tier_class"]],
-                terms.number(key) if key else None,
-                f["patience_left_ns"] // TENTH,
-                party=party and terms.number(party),
+                terms.stable_number(key) if key else None,
+                f["patience_left_ns"] // TICK_NS,
+                tenant=party and terms.stable_number(party),
             )
         if name == "VERDICT":
             tx, closed = self.numbers.get(f["corr"]), bool(f.get("terminal"))
             if tx is None:
                 return None
             self.close(tx, -1, closed)
-            return i.HopEnded(
+            return interface.AttemptEnded(
                 tx,
                 f.get("hop", 0),
                 self.host(f["host"]),
                 OUTCOMES[f["code"]],
-                f.get("lag_ns", 0) // TENTH,
+                f.get("lag_ns", 0) // TICK_NS,
                 closed,
             )
         if name == "DEADLINE_HIT":
-            return i.TimerDue(f["mark"])
+            return interface.TimerDue(f["mark"])
         if name == "GONE":
             tx = self.numbers.get(f["corr"])
             if tx is None:
                 return None
             self.close(tx, 0, True)
-            return i.TxGone(tx)
+            return interface.ClientDisconnected(tx)
         if name == "UNDER_WAY":
             tx = self.numbers.get(f["corr"])
-            return None if tx is None else i.StreamBegan(tx, f.get("hop", 0))
+            return None if tx is None else interface.StreamStarted(tx, f.get("hop", 0))
         if name == "VIEW":
             if f["scope"] == "unavailable":
-                return i.ListFailed()
-            return i.HostsListed(
+                return interface.HostListFailed()
+            return interface.HostListReceived(
                 self.listed(lists[f["slot"]]),
                 complete=f["scope"] != "update",
-                answered=f["scope"] != "restored",
+                from_discovery=f["scope"] != "restored",
             )
         if name == "INBOX":
             what, mark = news.read(f.get("payload")) or (None, None)
-            return i.NewsCame(f["src"], self.marked[mark], what) if mark in self.marked else None
+            return (
+                interface.PeerReportReceived(f["src"], self.marked[mark], what)
+                if mark in self.marked
+                else None
+            )
         if name == "PONG":
             return None  # nothing is probed
         raise ValueError(f"unknown event {name}")
 
     def action(self, effect: tuple) -> dict:
         kind = type(effect)
-        if kind is i.SendHop:
+        if kind is interface.SendAttempt:
             word = self.words[effect.tx]
             word[1] += 1
             return {
                 "FORWARD": {
                     "corr": word[0],
                     "host": self.addresses[effect.host],
-                    "allow_for_ns": effect.time_limit * TENTH,
+                    "allow_for_ns": effect.time_limit * TICK_NS,
                 }
             }
-        if kind is i.SetTimer:
-            return {"SLEEP": {"delay_ns": effect.delay * TENTH, "mark": effect.mark}}
-        if kind is i.RollBack:
+        if kind is interface.SetTimer:
+            return {"SLEEP": {"delay_ns": effect.delay * TICK_NS, "mark": effect.timer_id}}
+        if kind is interface.RollBack:
             word = self.words[effect.tx][0]
             self.close(effect.tx, 0, True)
-            return {"SHED": {"corr": word, "stay_away_ns": effect.come_back * TENTH}}
-        if kind is i.Abandon:
+            return {"SHED": {"corr": word, "stay_away_ns": effect.retry_after * TICK_NS}}
+        if kind is interface.Abandon:
             word = self.words[effect.tx][0]
             self.close(effect.tx, 0, True)
             return {"ABORT": {"corr": word}}
-        if kind is i.CancelHop:
-            return {"REVOKE": {"corr": self.words[effect.tx][0], "hop": effect.hop}}
-        if kind is i.TellNews:
+        if kind is interface.CancelAttempt:
+            return {"REVOKE": {"corr": self.words[effect.tx][0], "hop": effect.attempt}}
+        if kind is interface.SendPeerReport:
             return {
                 "SIGNAL": {
                     "recipient": "all" if effect.peer is None else effect.peer,
-                    "payload": news.encode(effect.what, self.marks[effect.host]).hex(),
+                    "payload": news.encode(effect.report, self.marks[effect.host]).hex(),
                 }
             }
         return {"OBSERVE": {"on": True}}
@@ -166,7 +170,7 @@
         self.lists: dict[int, list] = {}  # at most sixteen, each replaced by the next of its number
 
     def serve(self, batch: dict) -> dict:
-        now, parts = batch["ts_ns"] // TENTH, []
+        now, parts = batch["ts_ns"] // TICK_NS, []
         for part in batch["parts"]:
             who, decisions = part["who"], []
             for event in part["events"]:
--- a/basalthook/terms.py
+++ b/basalthook/terms.py
@@ -2,45 +2,49 @@
 
 from hashlib import blake2b
 
-from .policy import interface as i
+from .policy import interface
 
-TENTH = 100_000  # nanoseconds
+TICK_NS = 100_000  # nanoseconds
 
-KINDS = {"repeatable": i.IDEMPOTENT, "by_key": i.JOURNALLED, "once": i.NON_IDEMPOTENT}
-GROUPS = {"all": i.EVERYWHERE, "zone": i.ZONE, "cell": i.CELL}
+REPEAT_KINDS = {
+    "repeatable": interface.IDEMPOTENT,
+    "by_key": interface.JOURNALLED,
+    "once": interface.NON_IDEMPOTENT,
+}
+REPEAT_GROUPS = {"all": interface.EVERYWHERE, "zone": interface.ZONE, "cell": interface.CELL}
 
 
-def number(word: str) -> int:
+def stable_number(text: str) -> int:
     """The same whole number for a word in every process."""
-    return int.from_bytes(blake2b(word.encode(), digest_size=6).digest(), "big")
+    return int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
 
 
-def up(ns: int) -> int:
-    return -(-ns // TENTH)
+def ticks_rounded_up(ns: int) -> int:
+    return -(-ns // TICK_NS)
 
 
-def word(setup: dict, name: str, words: tuple[str, ...], default: str | None = None) -> str:
+def choice(setup: dict, name: str, choices: tuple[str, ...], default: str | None = None) -> str:
     found = setup[name] if default is None else setup.get(name, default)
-    if not isinstance(found, str) or found not in words:
-        raise ValueError(f"settings.{name}: {found!r} is none of {', '.join(words)}")
+    if not isinstance(found, str) or found not in choices:
+        raise ValueError(f"settings.{name}: {found!r} is none of {', '.join(choices)}")
     return found
 
 
-def whole(setup: dict, name: str, least: int) -> int:
+def integer(setup: dict, name: str, least: int) -> int:
     found = setup[name]
     if isinstance(found, bool) or not isinstance(found, int) or found < least:
         raise ValueError(f"settings.{name}: {found!r} is no whole number from {least} up")
     return found
 
 
-def yes(group: dict, name: str, of: str = "allowed") -> bool:
+def boolean(group: dict, name: str, of: str = "allowed") -> bool:
     found = group.get(name, False)
     if not isinstance(found, bool):
         raise ValueError(f"settings.{of}.{name}: {found!r} is neither true nor false")
     return found
 
 
-def places(profile: dict, name: str, known: list[str] | None) -> frozenset | None:
+def name_set(profile: dict, name: str, known: list[str] | None) -> frozenset | None:
     """Of a bound profile: where it may go. A misspelt place would keep it from running anywhere, unseen."""
     found = profile.get(name)
     if found is None:
@@ -53,50 +57,50 @@
     return frozenset(found)
 
 
-def agreement(setup: dict) -> i.Agreement:
+def policy_settings(setup: dict) -> interface.PolicySettings:
     rules, allowed, prices = setup["rules"], setup["allowed"], setup.get("prices", {})
     profiles = tuple(
-        i.Profile(
-            KINDS[p["effect"]],
-            GROUPS[p.get("group") or "all"],
-            p.get("repeat_window_ns", 0) // TENTH,
-            p["service_goal_ns"] // TENTH,
-            places(p, "stays_in", setup.get("areas")),
-            places(p, "host_types_open", setup.get("host_types")),
+        interface.Profile(
+            REPEAT_KINDS[p["effect"]],
+            REPEAT_GROUPS[p.get("group") or "all"],
+            p.get("repeat_window_ns", 0) // TICK_NS,
+            p["service_goal_ns"] // TICK_NS,
+            name_set(p, "stays_in", setup.get("areas")),
+            name_set(p, "host_types_open", setup.get("host_types")),
         )
         for p in setup["profiles"]
     )
-    return i.Agreement(
+    return interface.PolicySettings(
         profiles=profiles,
-        position=whole(setup, "position", 0),
-        proxies=whole(setup, "balancers", 1),
+        position=integer(setup, "position", 0),
+        proxies=integer(setup, "balancers", 1),
         zone=setup.get("zone", ""),
         warm_keys=bool((setup.get("family_info") or {}).get("warm_keys")),
-        cross_price=prices.get("cross_zone", 0.0),
-        list_on_request=word(setup, "discovery", ("on_request", "pushed")) == "on_request",
-        ask_within=rules["ask_within_ns"] // TENTH,
-        cold_share=rules["cold_from"],
-        cold_time=up(rules["cold_ns"]),
-        fall_multiple=rules["overload_factor"],
-        fall_time=up(rules["fall_ns"]),
-        max_hops=allowed["max_hops"],
-        cancelling=bool(allowed.get("cancelling")),
-        come_back_max=allowed.get("max_retry_after_ns", 0) // TENTH if allowed.get("retry_after") else 0,
-        live_weights=word(setup, "weights", ("nominal", "off", "rough", "live"), "nominal") == "live",
-        peers=yes(allowed, "peers"),
-        only_draining_binds=yes(rules, "only_draining_binds", "rules"),
-        grace=rules.get("drain_grace_ns", 0) // TENTH,
+        cross_zone_price=prices.get("cross_zone", 0.0),
+        list_on_request=choice(setup, "discovery", ("on_request", "pushed")) == "on_request",
+        list_poll_interval=rules["ask_within_ns"] // TICK_NS,
+        slow_start_share=rules["cold_from"],
+        slow_start_time=ticks_rounded_up(rules["cold_ns"]),
+        overload_factor=rules["overload_factor"],
+        overload_time=ticks_rounded_up(rules["fall_ns"]),
+        max_attempts=allowed["max_hops"],
+        can_cancel=bool(allowed.get("cancelling")),
+        max_retry_after=allowed.get("max_retry_after_ns", 0) // TICK_NS if allowed.get("retry_after") else 0,
+        live_weights=choice(setup, "weights", ("nominal", "off", "rough", "live"), "nominal") == "live",
+        peer_reports=boolean(allowed, "peers"),
+        use_unlisted=boolean(rules, "only_draining_binds", "rules"),
+        drain_grace=rules.get("drain_grace_ns", 0) // TICK_NS,
     )
 
 
-def profiles(setup: dict) -> dict[str, int]:
+def profile_indices(setup: dict) -> dict[str, int]:
     """The numbers that stand for the profiles' names."""
     return {p["name"]: n for n, p in enumerate(setup["profiles"])}
 
 
-def host(
-    index: int,
-    mark: int,
+def host_entry(
+    host_id: int,
+    hash_number: int,
     zone: str,
     cell: int,
     ready: bool,
@@ -104,9 +108,9 @@
     started_ns: int,
     kind: str = "",
     draining: bool = False,
-) -> i.Host:
+) -> interface.HostEntry:
     """A line of the host list. `mark` is the number of what every proxy calls the host."""
-    started = up(started_ns) if started_ns else None
+    started = ticks_rounded_up(started_ns) if started_ns else None
     # guards against a weight of nothing or less, which no share can be taken of
     size = weight if weight and weight > 0 else 1.0
-    return i.Host(index, mark, zone, cell, ready, size, started, kind, draining)
+    return interface.HostEntry(host_id, hash_number, zone, cell, ready, size, started, kind, draining)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -15,65 +15,66 @@
 
 import click
 
-EVENTS = ("TxArrived", "HopEnded", "TimerDue")
+EVENTS = ("TxArrived", "HopEnded", "TimerDue")  # column titles
+TITLES = {"TxArrived": "TxArrived", "AttemptEnded": "HopEnded", "TimerDue": "TimerDue"}  # by event class
 
 
 def play(count: int, transactions: int, waiting: bool) -> dict[str, float]:
     """Mean microseconds a call for one proxy before `count` hosts; `waiting` keeps its line filled."""
-    from basalthook.policy import interface as i
+    from basalthook.policy import interface
     from basalthook.policy.decide import Proxy
 
-    kinds = i.IDEMPOTENT, i.NON_IDEMPOTENT
-    profiles = tuple(i.Profile(kind, i.EVERYWHERE, 0, 5_000) for kind in kinds)
-    agreed = i.Agreement(
+    kinds = interface.IDEMPOTENT, interface.NON_IDEMPOTENT
+    profiles = tuple(interface.Profile(kind, interface.EVERYWHERE, 0, 5_000) for kind in kinds)
+    agreed = interface.PolicySettings(
         profiles=profiles,
         position=0,
         proxies=4,
         zone="north",
-        cross_price=0.01,
+        cross_zone_price=0.01,
         warm_keys=True,
         list_on_request=True,
-        ask_within=100_000,
-        cold_share=0.2,
-        cold_time=200_000,
-        fall_multiple=2.5,
-        fall_time=30_000,
-        max_hops=3,
-        cancelling=True,
-        come_back_max=20_000,
-        **({"second_copies": True} if "second_copies" in i.Agreement._fields else {}),
+        list_poll_interval=100_000,
+        slow_start_share=0.2,
+        slow_start_time=200_000,
+        overload_factor=2.5,
+        overload_time=30_000,
+        max_attempts=3,
+        can_cancel=True,
+        max_retry_after=20_000,
+        **({"second_copies": True} if "second_copies" in interface.PolicySettings._fields else {}),
     )  # of older states
     now, spent, calls, due = 1_000_000, dict.fromkeys(EVENTS, 0), dict.fromkeys(EVENTS, 0), []
     proxy = Proxy(agreed, 1, now)
     hosts = tuple(
-        i.Host(n, 7919 * (n + 1) ** 3, "north" if n % 2 else "south", n, True, 1.0, None)
+        interface.HostEntry(n, 7919 * (n + 1) ** 3, "north" if n % 2 else "south", n, True, 1.0, None)
         for n in range(count)
     )
-    proxy.handle(now, i.HostsListed(hosts, True, True))
+    proxy.handle(now, interface.HostListReceived(hosts, True, True))
     out, hops = [], {}
 
     def handle(event) -> None:
         begun = perf_counter_ns()
         effects = proxy.handle(now, event)
-        spent[type(event).__name__] += perf_counter_ns() - begun
-        calls[type(event).__name__] += 1
+        spent[TITLES[type(event).__name__]] += perf_counter_ns() - begun
+        calls[TITLES[type(event).__name__]] += 1
         for effect in effects:
-            if isinstance(effect, i.SendHop):
+            if isinstance(effect, interface.SendAttempt):
                 hop = hops[effect.tx] = hops.get(effect.tx, -1) + 1
                 out.append((now + (1_500 if waiting else 200), effect.tx, hop, effect.host, now))
-            elif isinstance(effect, i.SetTimer):
-                heappush(due, (now + effect.delay, effect.mark))
+            elif isinstance(effect, interface.SetTimer):
+                heappush(due, (now + effect.delay, effect.timer_id))
 
     for tx in range(transactions):
         now += 16 if waiting else 4
         if waiting:
-            proxy.strain = 2.0
-        handle(i.TxArrived(tx, tx % 2, tx * 31 % 2000, 20_000))
+            proxy.slowdown = 2.0
+        handle(interface.TxArrived(tx, tx % 2, tx * 31 % 2000, 20_000))
         while out and out[0][0] <= now:
             _, done, hop, host, sent = out.pop(0)
-            handle(i.HopEnded(done, hop, host, i.COMMITTED, now - sent, True))
+            handle(interface.AttemptEnded(done, hop, host, interface.COMMITTED, now - sent, True))
         while due and due[0][0] <= now:
-            handle(i.TimerDue(heappop(due)[1]))
+            handle(interface.TimerDue(heappop(due)[1]))
     return {name: spent[name] / max(1, calls[name]) / 1000 for name in EVENTS}
 
 
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -19,7 +19,7 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.program import startup
 from basalthook.program.log import Log
 from basalthook.program.service import Service
@@ -104,12 +104,12 @@
         return []
 
     def handle(self, now: int, event, seen=None) -> list:
-        if isinstance(event, i.TxArrived):
-            return [i.SendHop(event.tx, next(self.hosts), event.patience)]
-        if isinstance(event, i.HostsListed):
-            self.hosts = cycle([line.host for line in event.hosts])
-        if isinstance(event, i.HopEnded) and not event.closed:
-            return [i.Abandon(event.tx)]
+        if isinstance(event, interface.TxArrived):
+            return [interface.SendAttempt(event.tx, next(self.hosts), event.time_left)]
+        if isinstance(event, interface.HostListReceived):
+            self.hosts = cycle([line.host_id for line in event.hosts])
+        if isinstance(event, interface.AttemptEnded) and not event.final:
+            return [interface.Abandon(event.tx)]
         return []
 
 
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -5,17 +5,17 @@
 import json
 
 from basalthook.fleet.counting import Counting
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.policy.decide import Proxy
 from basalthook.recovery.following import Asking, Following
 
 IDEMPOTENT, SCAN_CELL, NON_IDEMPOTENT, PUSH_ZONE, UPLOAD = range(5)
 PROFILES = (
-    i.Profile(i.IDEMPOTENT, i.EVERYWHERE, 50_000, 6_000),
-    i.Profile(i.JOURNALLED, i.CELL, 6_000, 6_000),
-    i.Profile(i.NON_IDEMPOTENT, i.EVERYWHERE, 50_000, 6_000),
-    i.Profile(i.JOURNALLED, i.ZONE, 6_000, 6_000),
-    i.Profile(i.JOURNALLED, i.EVERYWHERE, 6_000, 6_000),
+    interface.Profile(interface.IDEMPOTENT, interface.EVERYWHERE, 50_000, 6_000),
+    interface.Profile(interface.JOURNALLED, interface.CELL, 6_000, 6_000),
+    interface.Profile(interface.NON_IDEMPOTENT, interface.EVERYWHERE, 50_000, 6_000),
+    interface.Profile(interface.JOURNALLED, interface.ZONE, 6_000, 6_000),
+    interface.Profile(interface.JOURNALLED, interface.EVERYWHERE, 6_000, 6_000),
 )
 
 
@@ -24,38 +24,40 @@
     position=0,
     proxies=4,
     zone="a",
-    cross_price=0.0,
+    cross_zone_price=0.0,
     warm_keys=True,
     list_on_request=True,
-    ask_within=100_000,
-    cold_share=0.2,
-    cold_time=200_000,
-    fall_multiple=2.5,
-    fall_time=30_000,
-    max_hops=4,
-    cancelling=False,
-    come_back_max=20_000,
+    list_poll_interval=100_000,
+    slow_start_share=0.2,
+    slow_start_time=200_000,
+    overload_factor=2.5,
+    overload_time=30_000,
+    max_attempts=4,
+    can_cancel=False,
+    max_retry_after=20_000,
 )
 
 
 class FakeHost:
     """A host that gives one outcome to whatever reaches it; None keeps it silent."""
 
-    def __init__(self, number, zone="a", cell=0, outcome=i.COMMITTED, started=None, kind=""):
+    def __init__(self, number, zone="a", cell=0, outcome=interface.COMMITTED, started=None, kind=""):
         self.outcome, self.got = outcome, []
-        self.line = i.Host(number, 7919 * (number + 1) ** 3, zone, cell, True, 1.0, started, kind)
+        self.line = interface.HostEntry(
+            number, 7919 * (number + 1) ** 3, zone, cell, True, 1.0, started, kind
+        )
 
 
 class Stage:
     def __init__(self, hosts, seed=1, elapsed=300, **terms):
         agreed = {**TERMS, **terms}
         self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
-        self.hosts = {h.line.host: h for h in hosts}
-        self.proxy = Proxy(i.Agreement(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.terms, self.proxy.chance), Counting(self.proxy))
+        self.hosts = {h.line.host_id: h for h in hosts}
+        self.proxy = Proxy(interface.PolicySettings(**agreed), seed, self.now)
+        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
         self.record, self.answers, self.hops, self.timers = [], {}, {}, []
         self.run(self.mind.begin())
-        self.tell(i.HostsListed(tuple(h.line for h in hosts), True, True))
+        self.tell(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
 
     def tell(self, event):
         self.run(self.mind.handle(self.now, event))
@@ -63,28 +65,28 @@
     def run(self, effects):
         for effect in effects:
             self.record.append(effect)
-            if isinstance(effect, i.SendHop):
+            if isinstance(effect, interface.SendAttempt):
                 hop = self.hops[effect.tx] = self.hops.get(effect.tx, -1) + 1
                 host = self.hosts[effect.host]
                 host.got.append(effect.tx)
                 if host.outcome is not None:
                     self.now += self.elapsed
                     self.end(effect.tx, hop, effect.host, host.outcome)
-            elif isinstance(effect, (i.RollBack, i.Abandon)):
+            elif isinstance(effect, (interface.RollBack, interface.Abandon)):
                 assert effect.tx not in self.answers, "answered twice"
                 self.answers[effect.tx] = type(effect)
-            elif isinstance(effect, i.SetTimer):
-                self.timers.append((self.now + effect.delay, effect.mark))
+            elif isinstance(effect, interface.SetTimer):
+                self.timers.append((self.now + effect.delay, effect.timer_id))
 
     def end(self, tx, hop, host, outcome, elapsed=None):
-        closed = outcome == i.COMMITTED
+        closed = outcome == interface.COMMITTED
         if closed:
-            self.answers.setdefault(tx, i.COMMITTED)
-        self.tell(i.HopEnded(tx, hop, host, outcome, elapsed or self.elapsed, closed))
+            self.answers.setdefault(tx, interface.COMMITTED)
+        self.tell(interface.AttemptEnded(tx, hop, host, outcome, elapsed or self.elapsed, closed))
 
-    def arrive(self, profile=IDEMPOTENT, key=None, patience=20_000, party=None):
+    def arrive(self, profile=IDEMPOTENT, key=None, time_left=20_000, tenant=None):
         tx, self.next = self.next, self.next + 1
-        self.tell(i.TxArrived(tx, profile, key, patience, party=party))
+        self.tell(interface.TxArrived(tx, profile, key, time_left, tenant=tenant))
         return tx
 
     def wait(self, time):
@@ -93,7 +95,7 @@
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.tell(i.TimerDue(due[0][1]))
+            self.tell(interface.TimerDue(due[0][1]))
         self.now = max(self.now, until)
 
     def many(self, count, profile=IDEMPOTENT, key=None):
@@ -107,10 +109,10 @@
 
     def crowd(self, strain):
         self.wait(30_000)
-        self.proxy.strain = strain
+        self.proxy.slowdown = strain
 
     def sends(self):
-        return [e.host for e in self.record if isinstance(e, i.SendHop)]
+        return [e.host for e in self.record if isinstance(e, interface.SendAttempt)]
 
 
 # ---- the same on sockets
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -4,7 +4,7 @@
 import unittest
 from contextlib import suppress
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.program.startup import decode
 from benchmarks import decisions, floor, load, path
 
@@ -46,11 +46,14 @@
 
     def test_the_stand_in_for_the_decisions_answers_what_fails(self):
         stand_in = floor.NextHost()
-        hosts = tuple(i.Host(n, n, "a", 0, True, 1.0, None) for n in range(2))
-        stand_in.handle(0, i.HostsListed(hosts, True, True))
-        sent = [stand_in.handle(0, i.TxArrived(tx, 0, None, 100))[0].host for tx in range(3)]
+        hosts = tuple(interface.HostEntry(n, n, "a", 0, True, 1.0, None) for n in range(2))
+        stand_in.handle(0, interface.HostListReceived(hosts, True, True))
+        sent = [stand_in.handle(0, interface.TxArrived(tx, 0, None, 100))[0].host for tx in range(3)]
         self.assertEqual(sent, [0, 1, 0])
-        self.assertEqual(stand_in.handle(0, i.HopEnded(1, 0, 0, i.RESET, 5, False)), [i.Abandon(1)])
+        self.assertEqual(
+            stand_in.handle(0, interface.AttemptEnded(1, 0, 0, interface.RESET, 5, False)),
+            [interface.Abandon(1)],
+        )
 
 
 class Load(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from basalthook.console.calls import Call
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.routing.orders import Orders
 from tests.fake import OK, SILENT, Caller, SocketHost
 from tests.loopback import Loopback
@@ -100,11 +100,11 @@
         for _ in range(2):  # out twice, back once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.owner.proxy.servers.values() if s.line.started)
-        self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
+        server = next(s for s in self.service.owner.proxy.hosts.values() if s.entry.started_at)
+        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
         await self.until(lambda: self.service.watch.version == 2)
-        self.assertAlmostEqual(server.fresh_from, self.service.owner.clock.now(), delta=20_000)
+        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
@@ -127,7 +127,7 @@
         self.service.pool.fresh = out_meanwhile
         caller.ask("submit", timeout="0.3")
         self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", i.UNSENT)], 0))
+        self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", interface.UNSENT)], 0))
 
     async def test_all_hosts_out_gives_clear_answers(self):
         caller = await self.play(SocketHost(), SocketHost())
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -3,18 +3,18 @@
 import asyncio
 import unittest
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.routing.owner import Answer
 from tests.fake import RESET, SILENT, UPLOAD, FakeHost, SocketHost, Stage
 from tests.loopback import Loopback
 
 REASONS = (
-    i.REQUEST_OVER,
-    i.OUT_OF_TIME,
-    i.REPEAT_NOT_ALLOWED,
-    i.ENDPOINT_LEAVING,
-    i.PLACEMENT,
-    i.CLIENT_GONE,
+    interface.REQUEST_OVER,
+    interface.OUT_OF_TIME,
+    interface.REPEAT_NOT_ALLOWED,
+    interface.ENDPOINT_LEAVING,
+    interface.PLACEMENT,
+    interface.CLIENT_GONE,
 )
 LATE = 0.5  # seconds that a connection takes to come up
 SCAN = {
@@ -56,7 +56,7 @@
     async def test_a_keyed_request_is_not_sent_again_after_its_window(self):
         caller = await self.retried()
         self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.REPEAT_NOT_ALLOWED], {i.REPEAT_NOT_ALLOWED: 1}))
+        self.assertEqual(self.refused(), ([interface.REPEAT_NOT_ALLOWED], {interface.REPEAT_NOT_ALLOWED: 1}))
 
     async def test_a_keyed_request_is_sent_again_within_its_window(self):
         caller = await self.retried(window=1.9)
@@ -69,7 +69,7 @@
 
         caller = await self.retried(leave, window=1.9)
         self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.PLACEMENT], {i.PLACEMENT: 1}))
+        self.assertEqual(self.refused(), ([interface.PLACEMENT], {interface.PLACEMENT: 1}))
 
     async def test_nothing_is_sent_to_an_endpoint_that_began_to_drain_while_its_connection_came_up(self):
         def drain():
@@ -78,7 +78,7 @@
 
         caller = await self.retried(drain, window=1.9)
         self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
-        self.assertEqual(self.refused(), ([i.ENDPOINT_LEAVING], {i.ENDPOINT_LEAVING: 1}))
+        self.assertEqual(self.refused(), ([interface.ENDPOINT_LEAVING], {interface.ENDPOINT_LEAVING: 1}))
 
     async def test_nothing_is_sent_for_a_client_that_left_behind_the_first_bytes_of_its_next_request(self):
         caller = await self.retried(window=1.9)
@@ -87,7 +87,7 @@
         caller.writer.close()
         await asyncio.sleep(LATE + 0.2)
         self.assertEqual(self.attempts(), 1)
-        self.assertEqual(self.refused()[1], {i.CLIENT_GONE: 1})
+        self.assertEqual(self.refused()[1], {interface.CLIENT_GONE: 1})
 
     async def test_nothing_is_sent_for_a_client_that_left_meanwhile(self):
         caller = await self.retried(window=1.9)
@@ -113,25 +113,25 @@
         stage = Stage([FakeHost(0, outcome=None)])
         stage.arrive(UPLOAD, key=1)
         (tx,) = stage.hosts[0].got
-        self.assertIsNone(stage.proxy.refusal(stage.now, tx, 0))
-        self.assertEqual(stage.proxy.refusal(stage.now + 10**6, tx, 0), i.OUT_OF_TIME)
-        self.assertEqual(stage.proxy.refusal(stage.now, tx, 7), i.ENDPOINT_LEAVING)
-        stage.tell(i.TxGone(tx))
-        self.assertEqual(stage.proxy.refusal(stage.now, tx, 0), i.REQUEST_OVER)
+        self.assertIsNone(stage.proxy.start_refusal(stage.now, tx, 0))
+        self.assertEqual(stage.proxy.start_refusal(stage.now + 10**6, tx, 0), interface.OUT_OF_TIME)
+        self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 7), interface.ENDPOINT_LEAVING)
+        stage.tell(interface.ClientDisconnected(tx))
+        self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 0), interface.REQUEST_OVER)
 
 
 class SlowStart(unittest.TestCase):
     def test_attempts_whose_connections_come_up_late_count_in_a_cold_endpoints_window_when_they_begin(self):
         cold = FakeHost(0, started=990_000, outcome=None)
         stage = Stage([cold])
-        stage.proxy.usual_rate = 40.0
+        stage.proxy.commit_rate = 40.0
         stage.many(40)
         first = len(cold.got)
         self.assertIn(first, range(3, 40))
         stage.now += 10_000  # of a window of 30,000
-        self.assertEqual({stage.proxy.refusal(stage.now, tx, 0) for tx in cold.got}, {None})
+        self.assertEqual({stage.proxy.start_refusal(stage.now, tx, 0) for tx in cold.got}, {None})
         for tx in list(cold.got):
-            stage.end(tx, 0, 0, i.COMMITTED)
+            stage.end(tx, 0, 0, interface.COMMITTED)
         stage.now += 21_000
         stage.many(40)
         self.assertLessEqual(len(cold.got), first + 1)  # its slice has grown a little meanwhile
@@ -139,8 +139,8 @@
 
 class Refusals(unittest.TestCase):
     def test_a_keyed_request_that_may_have_run_is_not_refused_as_harmless_after_its_window(self):
-        for elapsed, answer in ((1_000, i.RollBack), (7_000, i.Abandon)):
-            stage = Stage([FakeHost(0, outcome=i.RESET)], elapsed=elapsed, max_hops=1)
+        for elapsed, answer in ((1_000, interface.RollBack), (7_000, interface.Abandon)):
+            stage = Stage([FakeHost(0, outcome=interface.RESET)], elapsed=elapsed, max_attempts=1)
             self.assertEqual(stage.answers.get(stage.arrive(UPLOAD, key=1)), answer)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -127,11 +127,11 @@
     """Each rule holds by its own guard: cold hosts in a storm, with each other defence out in turn."""
 
     DEFENCES = {
-        "full": lambda self: False,
+        "at_limit": lambda self: False,
         "busy": lambda self: False,
-        "has_room": lambda self, server: True,
-        "doubtful": lambda self, server, tx: False,
-        "drags": lambda self, tx: False,
+        "has_capacity": lambda self, server: True,
+        "is_suspect": lambda self, server, tx: False,
+        "is_slow": lambda self, tx: False,
     }
 
     def storm(self):
@@ -150,7 +150,7 @@
                 self.assertEqual(self.storm().rules["pushed_over"], 0)
 
     def test_without_its_guard_they_are(self):
-        with patch.object(Hosts, "admits", lambda self, tx, server: self.open_to(tx, server.line)):
+        with patch.object(Hosts, "admits", lambda self, tx, server: self.is_eligible(tx, server.entry)):
             self.assertGreater(self.storm().rules["pushed_over"], 0)
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.protocol import catalogue
 from basalthook.recovery.following import SILENT, URGENT_TRIES, Following
 from tests.fake import SETTINGS, TERMS, SocketDiscovery, SocketHost
@@ -15,13 +15,13 @@
 
 
 def following(seed=1, **terms):
-    return Following(i.Agreement(**{**TERMS, "grace": 5_000, **terms}), Random(seed))
+    return Following(interface.PolicySettings(**{**TERMS, "drain_grace": 5_000, **terms}), Random(seed))
 
 
 class Rule(unittest.TestCase):
     @given(st.integers(0, 50_000), st.integers(0, 2**32))
     def test_the_fourth_call_beside_a_silent_one_has_a_part_of_the_grace_left(self, grace, seed):
-        rule = following(seed, grace=grace)
+        rule = following(seed, drain_grace=grace)
         begun = sum(rule.silent_after(calls) for calls in range(1, 4))
         self.assertLessEqual(begun + (SILENT + grace) // 5, SILENT + grace)
 
@@ -42,7 +42,8 @@
 
     @given(st.integers(1, 2_000), st.integers(0, 2**32))
     def test_a_fleet_whose_calls_were_all_answered_at_once_does_not_call_at_once_again(self, proxies, seed):
-        self.assertEqual(following(ask_within=900_000).watch_wait(), 600_000)  # discovery waits no longer
+        # discovery waits no longer
+        self.assertEqual(following(list_poll_interval=900_000).watch_wait(), 600_000)
         waits = sorted(following(seed, proxies=proxies, position=n).watch_wait() for n in range(proxies))
         self.assertGreaterEqual(waits[0], 100_000)
         self.assertLess(waits[-1], 200_000)
@@ -59,7 +60,9 @@
     def test_however_often_calls_have_failed_the_next_is_made_before_the_news_counts(
         self, failures, ask_within, drain_grace, pushed, seed
     ):
-        rule = following(seed, ask_within=ask_within, list_on_request=not pushed, grace=drain_grace)
+        rule = following(
+            seed, list_poll_interval=ask_within, list_on_request=not pushed, drain_grace=drain_grace
+        )
         for _ in range(failures):
             self.assertLessEqual(rule.retry_delay(turned_away=True), 20_000)
         for event, grace in ((rule.moved, 40_000), (rule.fell_silent, SILENT)):
@@ -88,7 +91,7 @@
 
     @given(st.integers(100_000, 600_000), st.sampled_from(("retry_delay", "fell_silent", "moved")))
     def test_the_watch_after_a_broken_one_is_short_and_answers_make_it_long_again(self, ask_within, event):
-        rule = following(ask_within=ask_within)
+        rule = following(list_poll_interval=ask_within)
         usual = rule.watch_wait()
         getattr(rule, event)(*([True] if event == "retry_delay" else []))
         seen_as_silent = rule.watch_wait() + rule.silent_after(1)
@@ -100,7 +103,7 @@
     def test_a_new_process_calls_early_enough_for_a_second_call_before_news_counts(self):
         for proxies in (1, 7, 200):
             for position in range(proxies):
-                rule = following(proxies=proxies, position=position, ask_within=300_000)
+                rule = following(proxies=proxies, position=position, list_poll_interval=300_000)
                 self.assertLess(rule.first_delay() + rule.retry_delay(turned_away=True), 60_000)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from basalthook.handover.inherited import NotOurs, listening
 from basalthook.handover.neighbours import Neighbours
 from basalthook.handover.record import Bad
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.recovery import knowledge
 from tests import test_program
 from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
@@ -109,7 +109,7 @@
 
     def upgraded(self, stage, hosts, wait=0):
         """A new proxy with the same hosts and what the old one has left as JSON."""
-        ids = {h.line.host: f"s-{h.line.host}" for h in hosts}
+        ids = {h.line.host_id: f"s-{h.line.host_id}" for h in hosts}
         left = json.loads(json.dumps(knowledge.told(stage.proxy, ids, NAMES)))
         successor = Stage(hosts, seed=2)
         successor.now = stage.now + wait
@@ -119,7 +119,7 @@
         return successor, fitted
 
     def test_bans_hold_and_end_when_they_would_have(self):
-        hosts = [FakeHost(0, outcome=i.UNREACHABLE), FakeHost(1)]
+        hosts = [FakeHost(0, outcome=interface.UNREACHABLE), FakeHost(1)]
         stage = Stage(hosts)
         stage.many(10)
         new, fitted = self.upgraded(stage, hosts)
@@ -128,29 +128,29 @@
         new.many(5)
         self.assertEqual(len(hosts[0].got), got)
         later, _ = self.upgraded(stage, hosts, wait=200_000)
-        self.assertFalse(later.proxy.away(later.proxy.servers[0], "ban"))
+        self.assertFalse(later.proxy.excluded(later.proxy.hosts[0], "ban"))
 
     def test_a_fresh_host_keeps_its_age_and_what_it_was_sent_and_one_restarted_is_new(self):
         hosts = [FakeHost(0), FakeHost(1, started=1_000_000)]
         stage = Stage(hosts)
         stage.many(60)
-        old = stage.proxy.servers[1]
+        old = stage.proxy.hosts[1]
         new, _ = self.upgraded(stage, hosts)
-        server = new.proxy.servers[1]
-        self.assertEqual((server.fresh_from, list(server.sent.times)), (old.fresh_from, list(old.sent.times)))
-        self.assertEqual(new.proxy.usual_rate, stage.proxy.usual_rate)
-        hosts[1].line = hosts[1].line._replace(started=stage.now)
+        server = new.proxy.hosts[1]
+        self.assertEqual((server.cold_since, list(server.sent.times)), (old.cold_since, list(old.sent.times)))
+        self.assertEqual(new.proxy.commit_rate, stage.proxy.commit_rate)
+        hosts[1].line = hosts[1].line._replace(started_at=stage.now)
         again, fitted = self.upgraded(stage, hosts)
-        self.assertEqual((fitted, again.proxy.servers[1].fresh_from), (1, stage.now))
-        self.assertFalse(again.proxy.servers[1].sent.times)
+        self.assertEqual((fitted, again.proxy.hosts[1].cold_since), (1, stage.now))
+        self.assertFalse(again.proxy.hosts[1].sent.times)
 
     def test_how_crowded_hosts_were_fades(self):
         hosts = [FakeHost(0), FakeHost(1)]
         stage = Stage(hosts)
         stage.many(5)
-        stage.proxy.strain = 3.0
-        self.assertEqual(self.upgraded(stage, hosts)[0].proxy.strain, 3.0)
-        self.assertEqual(self.upgraded(stage, hosts, wait=30_000)[0].proxy.strain, 2.0)
+        stage.proxy.slowdown = 3.0
+        self.assertEqual(self.upgraded(stage, hosts)[0].proxy.slowdown, 3.0)
+        self.assertEqual(self.upgraded(stage, hosts, wait=30_000)[0].proxy.slowdown, 2.0)
 
     def test_what_is_not_sound_is_an_error_that_is_foreseen(self):
         hosts = [FakeHost(0)]
@@ -165,8 +165,8 @@
             stage = Stage(hosts, proxies=1)
             stage.many(300)
             stage.now = 2_000_000
-            stage.proxy.usual_rate = 40.0
-            stage.tell(i.Shared(processes))
+            stage.proxy.commit_rate = 40.0
+            stage.tell(interface.ProcessCount(processes))
             stage.elapsed, before = 1, len(hosts[3].got)
             stage.many(400)
             sent.append(len(hosts[3].got) - before)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -264,7 +264,7 @@
         self.assertEqual(found.faults, [])
 
     def test_a_proxy_that_sends_again_what_may_have_run_is_found_out(self):
-        with patch.object(Hosts, "repeatable", lambda self, tx: True):
+        with patch.object(Hosts, "may_repeat", lambda self, tx: True):
             found = self.play(1.5, [faults.Errors(at=0.1, hosts=[0, 1, 2, 3], lasts=2.0, share=1.0)])
         self.assertGreater(found.verdict.rules["doubled"], 0)
 
@@ -305,7 +305,7 @@
             lead = [0.0] * count
             for _ in range(1_000):
                 key = chance.getrandbits(70)
-                first, whole = hosts.first(key), hosts.order(key)
+                first, whole = hosts.leaders(key), hosts.order(key)
                 self.assertEqual(first, whole[: len(first)])
                 self.assertEqual(sorted(whole), list(range(count)))
                 if count:
