--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
 from basalthook.recovery.door import EASE, LOST, Door
@@ -77,17 +77,17 @@
         stage.many(50)
         stage.turn(None)
         lost = [stage.arrive(2, key=1_000 + n) for n in range(8)]
-        stage.turn(i.COMMITTED)
-        before = {s.id: s.strain for s in stage.proxy.servers.values()}
+        stage.turn(interface.COMMITTED)
+        before = {s.id: s.slowdown for s in stage.proxy.hosts.values()}
         stage.wait(2_000)
         stage.many(40, profile=2)
         self.assertEqual([tx for tx in range(stage.next - 40, stage.next) if tx not in stage.answers], [])
         for tx in lost:
             server = stage.sends()[tx]
-            stage.end(tx, 0, server, i.TIMED_OUT, elapsed=9_000)
-        for server in stage.proxy.servers.values():
-            self.assertLess(server.strain, max(1.5, before[server.id] + 0.5))
-            self.assertEqual(server.away, {})
+            stage.end(tx, 0, server, interface.TIMED_OUT, elapsed=9_000)
+        for server in stage.proxy.hosts.values():
+            self.assertLess(server.slowdown, max(1.5, before[server.id] + 0.5))
+            self.assertEqual(server.excluded_until, {})
 
     def test_a_host_that_answers_nothing_any_more_is_still_banned(self):
         stage = self.stage()
@@ -96,8 +96,8 @@
         lost = [stage.arrive(2, key=n) for n in range(6)]
         stage.wait(9_000)
         for tx in lost:
-            stage.end(tx, 0, stage.sends()[tx], i.TIMED_OUT, elapsed=9_000)
-        self.assertTrue(any(stage.proxy.away(s, "ban") for s in stage.proxy.servers.values()))
+            stage.end(tx, 0, stage.sends()[tx], interface.TIMED_OUT, elapsed=9_000)
+        self.assertTrue(any(stage.proxy.excluded(s, "ban") for s in stage.proxy.hosts.values()))
 
     def test_silence_that_nobody_looked_at_is_none(self):
         """Answers that lay unread made every host look silent."""
@@ -105,11 +105,11 @@
         stage.many(20)
         stage.turn(None)
         tx = stage.arrive(key=1)
-        server = stage.proxy.servers[stage.sends()[-1]]
+        server = stage.proxy.hosts[stage.sends()[-1]]
         stage.now += 5_000
         for seen, silent in ((stage.now - 4_999, False), (stage.now, True)):
-            stage.run(stage.proxy.handle(stage.now, i.TimerDue(tx + 2), seen))
-            self.assertEqual(stage.proxy.doubtful(server, stage.proxy.txs[tx]), silent)
+            stage.run(stage.proxy.handle(stage.now, interface.TimerDue(tx + 2), seen))
+            self.assertEqual(stage.proxy.is_suspect(server, stage.proxy.txs[tx]), silent)
 
 
 class Clockwork(unittest.IsolatedAsyncioTestCase):
@@ -220,8 +220,8 @@
             host.writers[0].write(OK)
             time.sleep(0.3)
             self.assertEqual((await caller.answer())[0], 200)
-            (server,) = service.owner.proxy.servers.values()
-            self.assertLess(server.strain, 2.0)
+            (server,) = service.owner.proxy.hosts.values()
+            self.assertLess(server.slowdown, 2.0)
             self.assertLess(service.owner.proxy.latency[1].mean, 1_000)
             await caller.stop()
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,7 @@
 from basalthook.lab.leases import HARD_LIMIT, Member, Run
 from basalthook.lab.wire import Done, Got
 from basalthook.membership import wire
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from tests.fake import FakeHost, Stage
 
 PLACES, TOKENS = Limit("places", HOST, 3), Limit("rate", RATE, 40, 60)
@@ -83,7 +83,10 @@
         members = [Member(run, n) for n in range(run.size)]
 
         def own():
-            return sum(member.proxy.allowed.left((i.AT_HOST, 0), run.clock(member.n)) for member in members)
+            return sum(
+                member.proxy.allowance.remaining((interface.PER_HOST, 0), run.clock(member.n))
+                for member in members
+            )
 
         self.assertEqual(own(), 0)
         run.now += HARD_LIMIT // 2
@@ -124,8 +127,8 @@
         self.limits, self.proxy = self.member.limits, self.member.proxy
 
     def out(self, host):
-        server = self.proxy.servers[host]
-        server.out[host] = self.proxy.flying[host] = server, 0, 0
+        server = self.proxy.hosts[host]
+        server.attempts[host] = self.proxy.attempts[host] = server, 0, 0
 
     def test_all_that_is_in_use_is_named_and_an_ask_and_its_answer_fit_a_datagram(self):
         now = self.run.clock(1)
@@ -219,15 +222,19 @@
 class Decisions(unittest.TestCase):
     def test_hops_go_where_a_place_is_allowed_and_wait_for_one(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(i.Allowed((((i.AT_HOST, None), 0, 0, 0), ((i.AT_HOST, 1), 0, 1, 10**9))))
+        stage.tell(
+            interface.LimitsUpdated(
+                (((interface.PER_HOST, None), 0, 0, 0), ((interface.PER_HOST, 1), 0, 1, 10**9))
+            )
+        )
         stage.many(2)
         self.assertEqual(stage.sends(), [1])
-        stage.tell(i.Allowed((((i.AT_HOST, 0), 1, 0, 0),)))
+        stage.tell(interface.LimitsUpdated((((interface.PER_HOST, 0), 1, 0, 0),)))
         self.assertEqual(sorted(stage.sends()), [0, 1])
 
     def test_a_part_that_is_too_old_is_none_and_tokens_are_used_up(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(i.Allowed((((i.FIRST, None), 1, 1, stage.now + 100),)))
+        stage.tell(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 1, 1, stage.now + 100),)))
         stage.many(1)
         stage.wait(200)
         stage.many(1)
@@ -235,10 +242,10 @@
 
     def test_the_refused_are_told_when_to_come_back(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(i.Allowed((((i.FIRST, None), 0, 0, 0),), (), 7_000))
+        stage.tell(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 0, 0, 0),), (), 7_000))
         stage.many(1)
-        (back,) = [e for e in stage.record if isinstance(e, i.RollBack)]
-        self.assertTrue(5_000 < back.come_back < 9_000)
+        (back,) = [e for e in stage.record if isinstance(e, interface.RollBack)]
+        self.assertTrue(5_000 < back.retry_after < 9_000)
 
 
 class Judging(unittest.TestCase):
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -40,7 +40,9 @@
 
     def test_a_wrong_value_is_named_by_its_path_and_without_the_new_ones_all_is_as_it_was(self):
         agreed = startup.decode(self.example, {}).agreed
-        self.assertEqual((agreed.live_weights, agreed.peers, agreed.list_on_request), (False, False, True))
+        self.assertEqual(
+            (agreed.live_weights, agreed.peer_reports, agreed.list_on_request), (False, False, True)
+        )
         allowed = self.example["settings"]["allowed"]
         wrong_peers = [{**allowed, "peers": peers} for peers in (1, "yes")]
         for name, wrongs in {
@@ -65,7 +67,7 @@
             return startup.decode(told, {}, "here").agreed
 
         found = agreed(stays_in=["b"], host_types_open=["m"])
-        self.assertEqual((*found.profiles[0][-2:], found.only_draining_binds), ({"b"}, {"m"}, True))
+        self.assertEqual((*found.profiles[0][-2:], found.use_unlisted), ({"b"}, {"m"}, True))
         for name, wrong in (("stays_in", "b"), ("stays_in", []), ("stays_in", ["c"]), ("host_types_open", 1)):
             with self.assertRaisesRegex(startup.BadStart, f"^here: settings[.]profiles.+[.]{name}: "):
                 agreed(**{name: wrong})
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,15 @@
 ROOT = Path(__file__).parent.parent
 DECIDE = "basalthook/policy/decide.py"
 NAMED = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-EFFECTS = {"SendHop", "RollBack", "Abandon", "CancelHop", "WatchList", "TellNews", "SetTimer"}
+EFFECTS = {
+    "SendAttempt",
+    "RollBack",
+    "Abandon",
+    "CancelAttempt",
+    "RequestHostList",
+    "SendPeerReport",
+    "SetTimer",
+}
 
 
 def imported(path):
@@ -40,7 +48,7 @@
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr in EFFECTS:
             yield f"effect {node.func.attr}"
-        elif isinstance(node, ast.Attribute) and node.attr in ("terms", "agreement"):
+        elif isinstance(node, ast.Attribute) and node.attr in ("settings", "policy_settings"):
             yield f"rule {ast.unparse(node)}"
 
 
@@ -58,7 +66,7 @@
         for source in (
             "LIMIT = 3",
             "A, B = 1, 2.5",
-            "def f(p):\n return p.terms.fall_time",
+            "def f(p):\n return p.settings.overload_time",
             "def f(s):\n s.effects.append(i.SetTimer(1, 1))",
         ):
             self.assertTrue(list(decides(source)), source)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.protocol import application, catalogue, hosts, news
 from basalthook.protocol.http1 import HEAD_MOST, Malformed, Message, Parser
 
@@ -179,24 +179,24 @@
 class Outcomes(unittest.TestCase):
     def test_only_a_marked_answer_proves_that_nothing_ran(self):
         for found, outcome in (
-            (answered(503, "Not-Started: 1"), i.REFUSED),
-            (answered(504, "Not-Started: 1"), i.REFUSED),
-            (answered(503), i.ERROR),
-            (answered(500, "Not-Started: 1"), i.ERROR),
-            (answered(200), i.COMMITTED),
-            (answered(204), i.ERROR),
-            (answered(404), i.DECLINED),
-            (answered(400), i.DECLINED),
-            (answered(429), i.ERROR),
-            (answered(302), i.ERROR),
-            (answered(999), i.ERROR),
+            (answered(503, "Not-Started: 1"), interface.REFUSED),
+            (answered(504, "Not-Started: 1"), interface.REFUSED),
+            (answered(503), interface.ERROR),
+            (answered(500, "Not-Started: 1"), interface.ERROR),
+            (answered(200), interface.COMMITTED),
+            (answered(204), interface.ERROR),
+            (answered(404), interface.DECLINED),
+            (answered(400), interface.DECLINED),
+            (answered(429), interface.ERROR),
+            (answered(302), interface.ERROR),
+            (answered(999), interface.ERROR),
         ):
             self.assertEqual(hosts.outcome(found, True), outcome, found)
 
     def test_what_came_too_early_is_no_commit_and_an_end_in_order_ends_a_body(self):
         ended = parse(b"HTTP/1.1 200 OK\r\n\r\nall", True, end=True)
-        self.assertEqual((ended.body, hosts.outcome(ended, True)), (b"all", i.COMMITTED))
-        self.assertEqual(hosts.outcome(answered(200), False), i.ERROR)
+        self.assertEqual((ended.body, hosts.outcome(ended, True)), (b"all", interface.COMMITTED))
+        self.assertEqual(hosts.outcome(answered(200), False), interface.ERROR)
 
 
 class Catalogue(unittest.TestCase):
@@ -253,7 +253,7 @@
 
 class News(unittest.TestCase):
     def test_there_and_back_and_what_is_not_ours_is_nothing(self):
-        for what in (i.MET_FAULT, i.AT_FAULT):
+        for what in (interface.FAULT_SEEN, interface.FAULT_CONFIRMED):
             self.assertEqual(news.read(news.encode(what, 2**48 - 1).hex()), (what, 2**48 - 1))
         for digits in (None, "", "0", "zz", "01", "00" * 7, "03" + "31" * 6, "01" * 8, "01" * 300):
             self.assertIsNone(news.read(digits))
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -82,8 +82,8 @@
         self.assertEqual(self.desk.seats, {})
 
     def test_terms_are_rounded_to_the_safe_side(self):
-        terms = self.desk.seats["proxy_0"].proxy.terms
-        self.assertEqual((terms.profiles[0].service_goal, terms.cold_time), (2_000, 83_001))
+        terms = self.desk.seats["proxy_0"].proxy.settings
+        self.assertEqual((terms.profiles[0].service_goal, terms.slow_start_time), (2_000, 83_001))
 
     def test_news_of_a_host_not_listed_or_not_ours_is_passed_over(self):
         for payload in ({}, {"payload": "68692037"}, {"payload": "02" + "00" * 6}, {"payload": "x"}):
@@ -95,7 +95,7 @@
             for n, weight in enumerate((0, None, -3.0, 1e-9, 10.0))
         ]
         self.ask({"DIRECTORY": {"slot": 1, "records": odd}}, {"VIEW": {"scope": "update", "slot": 1}})
-        self.assertGreater(min(s.size for s in self.desk.seats["proxy_0"].proxy.servers.values()), 0)
+        self.assertGreater(min(s.capacity for s in self.desk.seats["proxy_0"].proxy.hosts.values()), 0)
         self.assertIn("FORWARD", self.ask(self.query())[0])
 
     def test_an_unknown_event_is_not_swallowed(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -6,7 +6,7 @@
 import unittest
 import unittest.mock
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.program.startup import decode
 from basalthook.routing.attempts import Attempt, Attempts
 from basalthook.routing.roster import Roster
@@ -44,12 +44,12 @@
         await self.until(lambda: len(self.service.owner.roster.places) == 2)
         for n in range(12):
             self.assertEqual(await caller.outcome(profile="submit", key=f"k{n}"), 200)
-        self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])  # then it is banned
+        self.assertEqual(self.log.hops(), [("connecting", interface.UNREACHABLE)])  # then it is banned
 
     async def test_what_must_not_run_twice_is_abandoned_after_a_reset(self):
         caller = await self.play(SocketHost(RESET), SocketHost(RESET))
         self.assertEqual(await caller.outcome(profile="submit"), 502)
-        self.assertEqual(self.log.hops(), [("written", i.RESET)])
+        self.assertEqual(self.log.hops(), [("written", interface.RESET)])
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 1)
 
     async def test_answers_that_are_not_whole_are_never_passed_on(self):
@@ -75,7 +75,7 @@
         caller = await self.play(*(SocketHost(way, OK) for way in spoilt))
         statuses = [await caller.outcome(profile="submit", key=f"k{n}") for n in range(30)]
         self.assertEqual((statuses.count(502), statuses.count(200)), (3, 27))
-        self.assertEqual(self.log.hops(), [("answering", i.ERROR)] * 3)
+        self.assertEqual(self.log.hops(), [("answering", interface.ERROR)] * 3)
 
     async def test_what_a_host_declines_goes_back_at_once_and_blames_no_host(self):
         """Each bad transaction cost two hosts their good name, and a repeat at a second one."""
@@ -83,7 +83,9 @@
         for n in range(20):
             self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
-        self.assertEqual({s.away.get("ban", 0) for s in self.service.owner.proxy.servers.values()}, {0})
+        self.assertEqual(
+            {s.excluded_until.get("ban", 0) for s in self.service.owner.proxy.hosts.values()}, {0}
+        )
 
     async def test_turned_away_is_harmless_and_so_rolled_back(self):
         caller = await self.play(SocketHost(REFUSED), SocketHost(REFUSED))
@@ -136,7 +138,7 @@
         caller = await self.play(SocketHost(SILENT))
         self.assertEqual(await caller.outcome(profile="submit", timeout="0.2"), 504)
         self.assertTrue(await self.hosts[0].ended.get())
-        self.assertEqual(self.log.hops(), [("written", i.TIMED_OUT)])
+        self.assertEqual(self.log.hops(), [("written", interface.TIMED_OUT)])
         self.assertEqual(self.service.pool.kept, {})
 
     async def test_nothing_leaves_for_what_was_answered_while_its_connection_came_up(self):
@@ -155,20 +157,20 @@
         self.service.pool.fresh = gone_meanwhile
         caller.ask("submit")
         await self.until(self.log.hops)
-        self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
+        self.assertEqual(self.log.hops(), [("untried", interface.UNSENT)])
         self.assertEqual((host.got.qsize(), len(self.service.pool.kept)), (0, 1))
 
     async def test_from_the_stage_alone_follows_what_may_have_run(self):
         for stage, stopped, outcome in (
-            (Stage.UNTRIED, None, i.UNSENT),
-            (Stage.CONNECTING, None, i.UNREACHABLE),
-            (Stage.WRITING, None, i.DROPPED),
-            (Stage.WRITTEN, None, i.RESET),
-            (Stage.ANSWERING, None, i.RESET),
-            (Stage.CONNECTING, i.TIMED_OUT, i.UNSENT),
-            (Stage.WRITING, i.CANCELLED, i.UNSENT),
-            (Stage.WRITTEN, i.TIMED_OUT, i.TIMED_OUT),
-            (Stage.ANSWERING, i.CANCELLED, i.CANCELLED),
+            (Stage.UNTRIED, None, interface.UNSENT),
+            (Stage.CONNECTING, None, interface.UNREACHABLE),
+            (Stage.WRITING, None, interface.DROPPED),
+            (Stage.WRITTEN, None, interface.RESET),
+            (Stage.ANSWERING, None, interface.RESET),
+            (Stage.CONNECTING, interface.TIMED_OUT, interface.UNSENT),
+            (Stage.WRITING, interface.CANCELLED, interface.UNSENT),
+            (Stage.WRITTEN, interface.TIMED_OUT, interface.TIMED_OUT),
+            (Stage.ANSWERING, interface.CANCELLED, interface.CANCELLED),
         ):
             hop = Attempt(None, None, 0, 0, None, 0, 1)
             hop.stage, hop.stopped = stage, stopped
@@ -190,7 +192,7 @@
         )
         await self.until(lambda: not self.service.owner.roster.ready(0))
         self.assertEqual(await caller.outcome(profile="submit", timeout="1.5"), 503)
-        self.assertEqual(self.log.hops(), [("connecting", i.UNREACHABLE)])
+        self.assertEqual(self.log.hops(), [("connecting", interface.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
         for sock in (full, *blockers):
             sock.close()
@@ -213,11 +215,11 @@
         (order,) = self.service.owner.orders.values()
         order.closed = True
         owner = self.service.owner
-        effects = [[i.SendHop(order.number, 0, 5_000)], []]
+        effects = [[interface.SendAttempt(order.number, 0, 5_000)], []]
         with unittest.mock.patch.object(owner.proxy, "handle", side_effect=effects):
             owner.due(7)
         await self.until(self.log.hops)
-        self.assertEqual(self.log.hops(), [("untried", i.UNSENT)])
+        self.assertEqual(self.log.hops(), [("untried", interface.UNSENT)])
         self.assertEqual(self.hosts[0].got.qsize(), 0)
 
     # ---- clients
@@ -437,18 +439,18 @@
     async def test_hosts_that_are_gone_are_forgotten_once_no_hop_is_out(self):
         roster, host = Roster(), await self.started(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.told(first, False).hosts[0].host
+        number = roster.told(first, False).hosts[0].host_id
         roster.attempt_begun(number)
         roster.told(first._replace(lines=()), True)
         self.assertEqual((len(roster.places), roster.ready(number)), (1, False))
         roster.attempt_over(number)
         self.assertEqual((roster.places, roster.numbers), ({}, {}))
-        self.assertNotEqual(roster.told(first, True).hosts[0].host, number)
+        self.assertNotEqual(roster.told(first, True).hosts[0].host_id, number)
 
     async def test_where_only_draining_binds_a_host_left_out_stays_until_let_go_and_a_drained_one_goes(self):
         roster, host = Roster(only_draining_binds=True), await self.started(SocketHost())
         first = decode(start_up([host], host), {}).known
-        number = roster.told(first, False).hosts[0].host
+        number = roster.told(first, False).hosts[0].host_id
         gone = first.lines[0]._replace(ready=False)
         for lines, stays in (
             ((), True),
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from tests.fake import IDEMPOTENT, NON_IDEMPOTENT, PROFILES, PUSH_ZONE, SCAN_CELL, UPLOAD, FakeHost, Stage
 
 
@@ -13,23 +13,23 @@
 
 class Design(unittest.TestCase):
     def test_throttling_everywhere_bans_none_and_backs_off(self):
-        hosts = fleet(4, outcome=i.REFUSED)
+        hosts = fleet(4, outcome=interface.REFUSED)
         stage = Stage(hosts, elapsed=20)
         stage.arrive(key=5)
         sent = len(stage.sends())
         stage.arrive(key=5)
         self.assertEqual(len(stage.sends()), sent)  # all backed off: it waits
-        stage.turn(i.COMMITTED)
+        stage.turn(interface.COMMITTED)
         stage.wait(5_000)
-        self.assertEqual(stage.answers[1], i.COMMITTED)  # a ban would have lasted longer
+        self.assertEqual(stage.answers[1], interface.COMMITTED)  # a ban would have lasted longer
 
     def test_uniform_failure_of_a_key_goes_back_to_the_caller(self):
-        hosts = fleet(4, outcome=i.ERROR)
+        hosts = fleet(4, outcome=interface.ERROR)
         stage = Stage(hosts)
         stage.arrive(key=5)
-        self.assertEqual(stage.answers[0], i.RollBack)
+        self.assertEqual(stage.answers[0], interface.RollBack)
         self.assertEqual(len(stage.sends()), 2)
-        stage.turn(i.COMMITTED)
+        stage.turn(interface.COMMITTED)
         for n in range(20):
             stage.arrive(key=100 + n)
         self.assertEqual(len(set(stage.sends()[2:])), 4)  # and no host was banned for it
@@ -37,7 +37,7 @@
     def test_transport_fault_bans_and_the_ban_ends(self):
         bad, *others = hosts = fleet(3)
         stage = Stage(hosts)
-        for bad.outcome, wait in ((i.UNREACHABLE, 110_000), (i.COMMITTED, 0)):
+        for bad.outcome, wait in ((interface.UNREACHABLE, 110_000), (interface.COMMITTED, 0)):
             stage.many(20)
             if wait:
                 self.assertEqual(len(bad.got), 1)
@@ -45,12 +45,12 @@
         self.assertGreater(len(bad.got), 1)
 
     def test_a_run_of_three_timeouts_bans(self):
-        silent, other = FakeHost(0, outcome=i.TIMED_OUT), FakeHost(1)
-        stage = Stage([silent], max_hops=1)
+        silent, other = FakeHost(0, outcome=interface.TIMED_OUT), FakeHost(1)
+        stage = Stage([silent], max_attempts=1)
         stage.hosts[1] = other
         for key in range(23):
             if key == 3:
-                stage.tell(i.HostsListed((other.line,), False, True))
+                stage.tell(interface.HostListReceived((other.line,), False, True))
             stage.arrive(key=key)
         self.assertEqual(len(silent.got), 3)
 
@@ -73,55 +73,55 @@
 class Rules(unittest.TestCase):
     def test_no_host_at_all_still_gives_one_answer_in_time(self):
         stage = Stage([])
-        stage.arrive(patience=3_000)
+        stage.arrive(time_left=3_000)
         stage.wait(3_000)
-        self.assertEqual(stage.answers, {0: i.RollBack})
+        self.assertEqual(stage.answers, {0: interface.RollBack})
 
     def test_timeout_at_the_hard_limit_abandons_what_must_not_run_twice(self):
         stage = Stage(fleet(2, outcome=None))
         stage.arrive(NON_IDEMPOTENT)
         stage.now += 20_000
-        stage.end(0, 0, stage.sends()[0], i.TIMED_OUT, 20_000)
-        self.assertEqual(stage.answers, {0: i.Abandon})
+        stage.end(0, 0, stage.sends()[0], interface.TIMED_OUT, 20_000)
+        self.assertEqual(stage.answers, {0: interface.Abandon})
         self.assertEqual(len(stage.sends()), 1)
 
     def test_non_idempotent_goes_on_after_unreachable_but_not_after_reset(self):
         hosts = fleet(4, outcome=None)
         stage = Stage(hosts)
         stage.arrive(NON_IDEMPOTENT)
-        stage.end(0, 0, stage.sends()[0], i.UNREACHABLE)
-        stage.end(0, 1, stage.sends()[1], i.RESET)
+        stage.end(0, 0, stage.sends()[0], interface.UNREACHABLE)
+        stage.end(0, 1, stage.sends()[1], interface.RESET)
         self.assertEqual(len(stage.sends()), 2)
-        self.assertEqual(stage.answers, {0: i.Abandon})
+        self.assertEqual(stage.answers, {0: interface.Abandon})
 
     def test_journalled_stays_in_its_zone_or_cell_and_window(self):
         for seed in range(6):
             for profile, ways in ((PUSH_ZONE, "zone"), (SCAN_CELL, "cell")):
                 stage = Stage([FakeHost(n, "ab"[n % 2], n % 2, None) for n in range(8)], seed=seed)
                 stage.arrive(profile)
-                stage.end(0, 0, stage.sends()[0], i.RESET)
+                stage.end(0, 0, stage.sends()[0], interface.RESET)
                 first, second = (getattr(stage.hosts[h].line, ways) for h in stage.sends())
                 self.assertEqual(first, second)
                 stage.now += 6_000  # the window runs from the earliest that may have run
-                stage.end(0, 1, stage.sends()[1], i.RESET)
+                stage.end(0, 1, stage.sends()[1], interface.RESET)
                 self.assertEqual(len(stage.sends()), 2)
-                self.assertEqual(stage.answers, {0: i.Abandon})
+                self.assertEqual(stage.answers, {0: interface.Abandon})
 
     def test_rolled_back_after_it_may_have_run_only_where_all_discard_repeats(self):
-        stage = Stage(fleet(3, outcome=i.RESET), max_hops=1)
+        stage = Stage(fleet(3, outcome=interface.RESET), max_attempts=1)
         stage.arrive(UPLOAD)
         stage.arrive(SCAN_CELL)
-        self.assertEqual(stage.answers, {0: i.RollBack, 1: i.Abandon})
+        self.assertEqual(stage.answers, {0: interface.RollBack, 1: interface.Abandon})
 
     def test_nothing_waiting_goes_to_a_drained_host(self):
-        host = FakeHost(0, outcome=i.REFUSED)
+        host = FakeHost(0, outcome=interface.REFUSED)
         stage = Stage([host])
         stage.arrive()
-        stage.tell(i.HostsListed((host.line._replace(ready=False),), False, True))
-        host.outcome = i.COMMITTED
+        stage.tell(interface.HostListReceived((host.line._replace(ready=False),), False, True))
+        host.outcome = interface.COMMITTED
         stage.wait(20_000)
         self.assertEqual(stage.sends(), [0])
-        self.assertEqual(stage.answers, {0: i.RollBack})
+        self.assertEqual(stage.answers, {0: interface.RollBack})
 
     def test_a_cold_host_is_not_pushed_over_though_all_others_are_banned(self):
         hosts = fleet(4)
@@ -129,8 +129,8 @@
         stage.many(200)
         cold = FakeHost(9, started=stage.now)
         stage.hosts[9] = cold
-        stage.tell(i.HostsListed((cold.line,), False, True))
-        stage.turn(i.UNREACHABLE)
+        stage.tell(interface.HostListReceived((cold.line,), False, True))
+        stage.turn(interface.UNREACHABLE)
         stage.many(200)
         self.assertLessEqual(len(cold.got), 50 * 0.2 * 2.5)  # a warm host's traffic, share, multiple
 
@@ -141,12 +141,18 @@
             ({"host_kinds": frozenset("x")}, {2, 3}),
             ({"zones": frozenset("b"), "host_kinds": frozenset("x")}, {3}),
         ):
-            hosts = [FakeHost(n, "ab"[n % 2], outcome=i.UNREACHABLE, kind="yx"[n // 2]) for n in range(4)]
+            hosts = [
+                FakeHost(n, "ab"[n % 2], outcome=interface.UNREACHABLE, kind="yx"[n // 2]) for n in range(4)
+            ]
             stage = Stage(hosts, profiles=(PROFILES[IDEMPOTENT]._replace(**bound), PROFILES[NON_IDEMPOTENT]))
             stage.many(20)
             self.assertEqual(set(stage.sends()), home)
-            stage.tell(i.HostsListed(tuple(h.line for h in hosts if h.line.host not in home), True, True))
-            self.assertEqual(stage.answers[stage.arrive()], i.RollBack)
+            stage.tell(
+                interface.HostListReceived(
+                    tuple(h.line for h in hosts if h.line.host_id not in home), True, True
+                )
+            )
+            self.assertEqual(stage.answers[stage.arrive()], interface.RollBack)
             self.assertEqual(set(stage.sends()), home)
 
     def test_where_a_profile_is_bound_to_the_own_zone_free_ones_stay_till_all_there_is_banned(self):
@@ -158,10 +164,10 @@
             stage.many(60, 1)
             self.assertEqual(set(stage.sends()), used)
         for host in hosts[::2]:
-            host.outcome = i.UNREACHABLE
+            host.outcome = interface.UNREACHABLE
         stage.many(20, 1)
         self.assertTrue({1, 3, 5} & set(stage.sends()[-10:]))
-        stage.turn(i.COMMITTED)
+        stage.turn(interface.COMMITTED)
         stage.wait(30_000)
         stage.many(6)  # bound ones look whether home is up again
         stage.many(20, 1)
@@ -179,15 +185,15 @@
     def test_where_only_draining_binds_a_host_left_out_is_sent_to_until_it_fails(self):
         for draining, complete in ((False, True), (False, False), (True, False)):
             host, other = hosts = fleet(2)
-            stage = Stage(hosts, only_draining_binds=True)
+            stage = Stage(hosts, use_unlisted=True)
             stage.many(20)
             for line in (host.line._replace(ready=False, draining=draining), host.line._replace(ready=False)):
-                stage.tell(i.HostsListed((other.line, line)[: 2 - complete], complete, True))
+                stage.tell(interface.HostListReceived((other.line, line)[: 2 - complete], complete, True))
             for outcome, got in (
-                (i.COMMITTED, True),
-                (i.CANCELLED, True),
-                (i.UNREACHABLE, True),
-                (i.COMMITTED, False),
+                (interface.COMMITTED, True),
+                (interface.CANCELLED, True),
+                (interface.UNREACHABLE, True),
+                (interface.COMMITTED, False),
             ):  # cancelled by us proves nothing, a fault does
                 host.outcome, before = outcome, len(host.got)
                 stage.many(20)
@@ -196,12 +202,12 @@
 
     def test_one_hop_at_a_time_where_copies_are_not_allowed(self):
         """Late hops were cancelled and sent elsewhere, all their work began again: a crowd fed on it."""
-        stage = Stage(fleet(4, outcome=None), cancelling=True)
+        stage = Stage(fleet(4, outcome=None), can_cancel=True)
         stage.arrive()
         stage.wait(19_000)
         self.assertEqual(len(stage.sends()), 1)
-        self.assertNotIn(i.CancelHop(0, 0), stage.record)
-        stage.end(0, 0, stage.sends()[0], i.RESET)
+        self.assertNotIn(interface.CancelAttempt(0, 0), stage.record)
+        stage.end(0, 0, stage.sends()[0], interface.RESET)
         self.assertEqual(len(stage.sends()), 2)
 
     def test_one_hot_key_at_hundreds_of_proxies_does_not_push_over_a_cold_host(self):
@@ -210,11 +216,11 @@
         for seed in range(100):
             cold = FakeHost(1, started=990_000)
             stage = Stage([FakeHost(0), cold], seed=seed, proxies=277)
-            stage.proxy.usual_rate = 0.1
+            stage.proxy.commit_rate = 0.1
             stage.arrive(key=5)
             del cold.got[:]
             stage.now += 40_000
-            stage.hosts[0].outcome = i.UNREACHABLE
+            stage.hosts[0].outcome = interface.UNREACHABLE
             stage.arrive(key=5)
             took += len(cold.got)
         self.assertLess(took, 30)
@@ -223,16 +229,20 @@
 class Departures(unittest.TestCase):
     def test_what_drags_at_all_hosts_rests_none_and_goes_one_at_a_time(self):
         """One firm's transactions waited at every map server: 93 in 100 of all firms' were rolled back."""
-        for dragging in ({"party": 1}, {"profile": SCAN_CELL}):
+        for dragging in ({"tenant": 1}, {"profile": SCAN_CELL}):
             stage = Stage(fleet(3))
             for n in range(120):
-                stage.elapsed, whose = (7_000, dragging) if n % 2 else (700, {"party": 2})
+                stage.elapsed, whose = (7_000, dragging) if n % 2 else (700, {"tenant": 2})
                 stage.arrive(key=n, **whose)
-            self.assertFalse([s for s in stage.proxy.servers.values() if stage.proxy.away(s, "rest")])
+            self.assertFalse([s for s in stage.proxy.hosts.values() if stage.proxy.excluded(s, "rest")])
             stage.turn(None)
-            txs = [stage.arrive(**whose) for whose in (dragging, dragging, {"party": 2})]
-            self.assertEqual([stage.answers.get(tx) for tx in txs], [None, i.RollBack, None])  # at once
-            self.assertGreater([e for e in stage.record if isinstance(e, i.RollBack)][-1].come_back, 0)
+            txs = [stage.arrive(**whose) for whose in (dragging, dragging, {"tenant": 2})]
+            self.assertEqual(
+                [stage.answers.get(tx) for tx in txs], [None, interface.RollBack, None]
+            )  # at once
+            self.assertGreater(
+                [e for e in stage.record if isinstance(e, interface.RollBack)][-1].retry_after, 0
+            )
 
     def test_a_silent_host_is_passed_by(self):
         hosts = fleet(2)
@@ -247,32 +257,32 @@
 
     def test_a_late_hop_is_left_alone_and_called_back_once_nobody_waits(self):
         """Copies of late hops lost their work in every crowd, and took room that first hops needed."""
-        stage = Stage(fleet(3, outcome=None), cancelling=True)
+        stage = Stage(fleet(3, outcome=None), can_cancel=True)
         stage.arrive()
         stage.wait(19_000)
         self.assertEqual(len(stage.sends()), 1)
-        stage.tell(i.TxGone(0))
-        self.assertIn(i.CancelHop(0, 0), stage.record)
+        stage.tell(interface.ClientDisconnected(0))
+        self.assertIn(interface.CancelAttempt(0, 0), stage.record)
 
     def test_list_is_asked_again_after_a_failure_never_twice_at_once(self):
         stage = Stage(fleet(1))
-        stage.tell(i.ListFailed())
-        stage.tell(i.ListFailed())
+        stage.tell(interface.HostListFailed())
+        stage.tell(interface.HostListFailed())
         stage.record.clear()
         stage.wait(100_000)
-        self.assertEqual(stage.record.count(i.WatchList()), 1)
+        self.assertEqual(stage.record.count(interface.RequestHostList()), 1)
 
     def test_late_and_unknown_events_are_taken_quietly(self):
         stage = Stage(fleet(2))
         stage.arrive()
         stage.record.clear()
         for event in (
-            i.TxGone(0),
-            i.TxGone(77),
-            i.StreamBegan(77, 0),
-            i.TimerDue(2),
-            i.TimerDue(900),
-            i.HopEnded(77, 0, 5, i.COMMITTED, 10, True),
+            interface.ClientDisconnected(0),
+            interface.ClientDisconnected(77),
+            interface.StreamStarted(77, 0),
+            interface.TimerDue(2),
+            interface.TimerDue(900),
+            interface.AttemptEnded(77, 0, 5, interface.COMMITTED, 10, True),
         ):
             stage.tell(event)
         self.assertEqual(stage.record, [])
@@ -280,7 +290,7 @@
 
     def test_quick_errors_of_several_keys_ban_the_host(self):
         bad, *_ = hosts = fleet(4)
-        bad.outcome = i.ERROR
+        bad.outcome = interface.ERROR
         stage = Stage(hosts)
         stage.many(60)
         self.assertLessEqual(len(bad.got), 4)
@@ -290,13 +300,13 @@
         hosts = fleet(3)
         stage = Stage(hosts)
         for n in range(300):
-            hosts[n % 3].outcome = {0: i.RESET, 10: i.ERROR}.get(n % 20, i.COMMITTED)
+            hosts[n % 3].outcome = {0: interface.RESET, 10: interface.ERROR}.get(n % 20, interface.COMMITTED)
             stage.arrive(key=n)
-            stage.turn(i.COMMITTED)
-        self.assertEqual([s.away for s in stage.proxy.servers.values()], [{}] * 3)
+            stage.turn(interface.COMMITTED)
+        self.assertEqual([s.excluded_until for s in stage.proxy.hosts.values()], [{}] * 3)
 
     def test_a_host_that_breaks_what_it_takes_is_banned_and_one_that_refuses_at_once(self):
-        for outcome, most in ((i.RESET, 4), (i.DROPPED, 4), (i.UNREACHABLE, 3)):
+        for outcome, most in ((interface.RESET, 4), (interface.DROPPED, 4), (interface.UNREACHABLE, 3)):
             bad, *_ = hosts = fleet(3)
             bad.outcome = outcome
             stage = Stage(hosts)
@@ -309,7 +319,7 @@
             stage = Stage(fleet(2), proxies=proxies)
             stage.many(20)
             stage.crowd(2.0)
-            self.assertEqual(stage.proxy.budget(stage.proxy.servers[0]), places)
+            self.assertEqual(stage.proxy.concurrency_limit(stage.proxy.hosts[0]), places)
 
     def test_resets_that_all_hosts_share_leave_them_in_use(self):
         """Any two near each other banned: at one in ten, most hosts were out (wide day, G 0.33)."""
@@ -317,7 +327,7 @@
         stage, chance = Stage(hosts), Random(4)
         for n in range(2_000):
             for host in hosts:
-                host.outcome = i.RESET if chance.random() < 0.2 else i.COMMITTED
+                host.outcome = interface.RESET if chance.random() < 0.2 else interface.COMMITTED
             stage.arrive(key=n)
         self.assertGreater(min(len(host.got) for host in hosts), 400)
 
@@ -328,26 +338,32 @@
         for n in range(60):
             odd.outcome = None
             tx = stage.arrive(NON_IDEMPOTENT, key=n)
-            odd.outcome = i.COMMITTED
+            odd.outcome = interface.COMMITTED
             stage.many(5)
             if tx not in stage.answers:
                 lost += 1
-                stage.end(tx, 0, 0, i.TIMED_OUT, 1_000)
+                stage.end(tx, 0, 0, interface.TIMED_OUT, 1_000)
         self.assertEqual(lost, 3)
         self.assertGreater(len(odd.got), 10)  # the others still go there
 
     def test_a_host_whose_hops_are_all_called_back_rests(self):
         """Overtaken by its copies, a slow host never answers, and was never found slow."""
-        stage = Stage(fleet(2, outcome=None), cancelling=True, elapsed=100)
+        stage = Stage(fleet(2, outcome=None), can_cancel=True, elapsed=100)
         for key in range(40):
             tx = stage.arrive(key=key)
             host = stage.sends()[-1]
             stage.now += 50
-            stage.end(tx, 0, host, i.CANCELLED if host == 0 else i.COMMITTED, 6_000 if host == 0 else 700)
+            stage.end(
+                tx,
+                0,
+                host,
+                interface.CANCELLED if host == 0 else interface.COMMITTED,
+                6_000 if host == 0 else 700,
+            )
             if host == 0:
-                stage.end(tx, 1, 1, i.COMMITTED, 700)
-        self.assertTrue(stage.proxy.servers[0].throttles)
-        self.assertFalse(stage.proxy.servers[1].throttles)
+                stage.end(tx, 1, 1, interface.COMMITTED, 700)
+        self.assertTrue(stage.proxy.hosts[0].throttles)
+        self.assertFalse(stage.proxy.hosts[1].throttles)
 
     def test_one_hop_at_a_silent_host_does_not_stop_a_proxy_of_little_traffic(self):
         """One of 290 proxies: one hop out, at a silent host, had all else refused until its hard limit."""
@@ -356,15 +372,15 @@
         stage.many(2, NON_IDEMPOTENT)
         stage.wait(3_500)
         for strain, sent in ((3.0, 2), (1.3, 3)):  # not so in a crowd, where all hops are late
-            stage.proxy.strain = strain
+            stage.proxy.slowdown = strain
             stage.arrive(key=9)
             self.assertEqual(len(stage.sends()), sent)
 
     def test_what_silent_hosts_owe_is_no_crowd_at_the_others(self):
         stage = Stage(fleet(2, outcome=None))
         tx = stage.arrive()
-        stage.end(tx, 0, stage.sends()[0], i.TIMED_OUT, 20_000)
-        self.assertEqual(stage.proxy.strain, 1.0)
+        stage.end(tx, 0, stage.sends()[0], interface.TIMED_OUT, 20_000)
+        self.assertEqual(stage.proxy.slowdown, 1.0)
 
     def test_a_host_met_seldom_rests_on_one_slow_answer_and_long_and_one_met_often_does_not(self):
         """Forty proxies met a jammed host each four seconds: it took three answers, and a rest was 50 ms."""
@@ -372,9 +388,9 @@
             stage = Stage(fleet(1), elapsed=100, proxies=40)
             stage.many(before)
             stage.turn(None)
-            slow, server = stage.arrive(), stage.proxy.servers[0]
-            stage.end(slow, 0, 0, i.COMMITTED, 6_000)
-            self.assertEqual(server.away.get("rest", 0) >= stage.now + 25_000, rests)
+            slow, server = stage.arrive(), stage.proxy.hosts[0]
+            stage.end(slow, 0, 0, interface.COMMITTED, 6_000)
+            self.assertEqual(server.excluded_until.get("rest", 0) >= stage.now + 25_000, rests)
 
     def test_the_jam_of_one_host_is_not_the_fleets(self):
         """Six jammed hosts of sixty, and a fifth of all rolled back while the others had room."""
@@ -385,8 +401,8 @@
             host = stage.sends()[-1]
             jammed = host == stage.sends()[0]
             slow += jammed
-            stage.end(tx, 0, host, i.COMMITTED, 6_000 if jammed else 700)
-            strains.append(stage.proxy.strain)
+            stage.end(tx, 0, host, interface.COMMITTED, 6_000 if jammed else 700)
+            strains.append(stage.proxy.slowdown)
             stage.wait(100_000)
         self.assertGreater(slow, 3)
         self.assertLessEqual(max(strains), 1.0)
@@ -399,17 +415,17 @@
         waiting = stage.arrive()
         stage.proxy.latency[IDEMPOTENT].mean = 1
         stage.wait(7_000)
-        self.assertEqual(stage.answers[waiting], i.RollBack)
+        self.assertEqual(stage.answers[waiting], interface.RollBack)
 
     def test_short_goals_go_first_in_line(self):
         hosts = fleet(1, outcome=None)
         stage = Stage(hosts)
         stage.crowd(2.0)
         held = stage.arrive()
-        patient, hasty = stage.arrive(patience=20_000), stage.arrive(patience=3_000)
-        stage.end(held, 0, 0, i.COMMITTED)
+        patient, hasty = stage.arrive(time_left=20_000), stage.arrive(time_left=3_000)
+        stage.end(held, 0, 0, interface.COMMITTED)
         self.assertEqual(hosts[0].got, [held, hasty])
-        stage.end(hasty, 0, 0, i.COMMITTED)
+        stage.end(hasty, 0, 0, interface.COMMITTED)
         self.assertEqual(hosts[0].got, [held, hasty, patient])
 
     def test_while_busy_a_key_waits_for_its_two_hosts(self):
@@ -417,14 +433,14 @@
         stage = Stage(fleet(6))
         stage.many(200, key=9)
         homes = set(stage.sends())
-        stage.proxy.strain = 2.0
+        stage.proxy.slowdown = 2.0
         stage.turn(None)
         stage.many(12, key=9)
         self.assertEqual(set(stage.sends()), homes)
 
     def test_own_zone_is_leant_to_by_the_price_of_crossing(self):
         def near(price):
-            stage = Stage([FakeHost(n, zone="ab"[n % 2]) for n in range(8)], cross_price=price)
+            stage = Stage([FakeHost(n, zone="ab"[n % 2]) for n in range(8)], cross_zone_price=price)
             stage.many(300)
             return sum(host % 2 == 0 for host in stage.sends())
 
@@ -433,10 +449,10 @@
 
     def test_back_from_a_ban_a_host_gets_nothing_that_could_not_be_repeated(self):
         bad, good = hosts = fleet(2)
-        bad.outcome = i.UNREACHABLE
+        bad.outcome = interface.UNREACHABLE
         stage = Stage(hosts)
         stage.many(10)
-        bad.outcome = i.COMMITTED
+        bad.outcome = interface.COMMITTED
         stage.wait(101_000)
         before = len(bad.got)
         stage.many(10, NON_IDEMPOTENT)
@@ -450,7 +466,7 @@
         stage.crowd(2.0)
         stage.proxy.pace = 600
         stage.many(60, key=9)
-        told = [e.come_back for e in stage.record if isinstance(e, i.RollBack)]
+        told = [e.retry_after for e in stage.record if isinstance(e, interface.RollBack)]
         self.assertGreater(len(told), 40)
         self.assertGreater(len(set(told)), len(told) / 2)
         self.assertLess(1.4, max(told) / min(told))
@@ -462,14 +478,14 @@
         stage.proxy.pace = 600
         for _ in range(6):
             stage.arrive()
-        self.assertIn(i.RollBack, stage.answers.values())
-        first = next(e for e in stage.record if isinstance(e, i.RollBack))
-        self.assertLess(0, first.come_back)
-        self.assertLess(first.come_back, 3_000)
+        self.assertIn(interface.RollBack, stage.answers.values())
+        first = next(e for e in stage.record if isinstance(e, interface.RollBack))
+        self.assertLess(0, first.retry_after)
+        self.assertLess(first.retry_after, 3_000)
 
     def test_a_fresh_host_first_gets_a_thin_slice_of_the_keys(self):
-        stage = Stage(fleet(3) + [FakeHost(3, started=1_000_000)], cold_share=0.1)
-        lead = [next(stage.proxy.ranking(key)).id for key in range(300)]
+        stage = Stage(fleet(3) + [FakeHost(3, started=1_000_000)], slow_start_share=0.1)
+        lead = [next(stage.proxy.ranked_hosts(key)).id for key in range(300)]
         self.assertLess(0, lead.count(3))
         self.assertLess(lead.count(3), 40)
 
@@ -489,12 +505,12 @@
         for key in range(400):
             stage.arrive(key=key)
             stage.now += 100
-        usual = stage.proxy.usual_rate
+        usual = stage.proxy.commit_rate
         self.assertGreater(usual, 0)
-        stage.proxy.strain = 3.0
+        stage.proxy.slowdown = 3.0
         stage.wait(60_000)
         stage.arrive(key=1)
-        self.assertEqual(stage.proxy.usual_rate, usual)
+        self.assertEqual(stage.proxy.commit_rate, usual)
 
 
 class Shape(unittest.TestCase):
@@ -511,19 +527,19 @@
     def lines(self, stage, *weights):
         told = zip(stage.hosts.values(), weights, strict=True)
         lines = tuple(host.line._replace(kind="k", weight=weight) for host, weight in told)
-        stage.tell(i.HostsListed(lines, False, True))
+        stage.tell(interface.HostListReceived(lines, False, True))
 
     def test_sizes_follow_the_highest_weight_in_steps_and_never_fall(self):
         stage = self.live(3)
         for weights, sizes in (((40.0, 1.0, 1.0), {8.0, 4.0}), ((0.1, 0.1, 0.1), {8.0, 4.0})):  # untrue
             self.lines(stage, *weights)
-            self.assertEqual({s.size for s in stage.proxy.servers.values()}, sizes)
+            self.assertEqual({s.capacity for s in stage.proxy.hosts.values()}, sizes)
 
     def test_told_to_hold_little_a_host_has_room_for_a_swing_though_answers_are_slow(self):
         """Each of five proxies had its one place at every host of seven cores, and rolled back the rest."""
         for held, taken in ((0.2, 9), (3.0, 3)):
             stage = self.live(3, held, outcome=None)
-            stage.proxy.strain = 2.0
+            stage.proxy.slowdown = 2.0
             stage.many(9)
             self.assertEqual(len(stage.sends()), taken, held)
 
@@ -531,33 +547,42 @@
         """Thirteen of eighteen hosts rested, said to hold next to nothing, and 29 in 100 were rolled back."""
         for live, rests in ((True, False), (False, True)):
             stage = Stage(fleet(2), live_weights=live)
-            server, stage.proxy.strain = stage.proxy.servers[0], 2.0
-            stage.proxy.weigh(server, None, i.HopEnded(0, 0, 0, i.COMMITTED, 360, True), 8.0)
-            self.assertEqual(stage.proxy.away(server, "rest"), rests, server.strain)
+            server, stage.proxy.slowdown = stage.proxy.hosts[0], 2.0
+            stage.proxy.weigh(
+                server, None, interface.AttemptEnded(0, 0, 0, interface.COMMITTED, 360, True), 8.0
+            )
+            self.assertEqual(stage.proxy.excluded(server, "rest"), rests, server.slowdown)
 
     def test_where_all_hosts_hold_too_much_some_are_rolled_back_as_they_arrive_and_told_when_to_return(self):
         stage = self.live(3, 9.0, outcome=None)
         stage.many(40)  # no time passes meanwhile
-        rolled = [e for e in stage.record if isinstance(e, i.RollBack)]
+        rolled = [e for e in stage.record if isinstance(e, interface.RollBack)]
         self.assertGreater(len(rolled), 10)
-        self.assertGreater(min(e.come_back for e in rolled), 0)
+        self.assertGreater(min(e.retry_after for e in rolled), 0)
 
     def test_errors_are_told_to_the_one_who_counts_and_three_of_them_make_all_keep_away_for_a_while(self):
         def told(stage):
-            return [e for e in stage.record if isinstance(e, i.TellNews)]
+            return [e for e in stage.record if isinstance(e, interface.SendPeerReport)]
 
         for peers in (False, True):
-            stage = Stage(fleet(10, outcome=i.ERROR), proxies=10, peers=peers, position=3, elapsed=10)
+            stage = Stage(
+                fleet(10, outcome=interface.ERROR), proxies=10, peer_reports=peers, position=3, elapsed=10
+            )
             stage.many(30)
             self.assertEqual(bool(told(stage)), peers)  # not allowed: none
-        hosts = {host: stage.proxy.servers[host].line.hash % 10 for host in range(10)}
-        once = {host: i.TellNews(hosts[host], host, i.MET_FAULT) for host in {e.host for e in told(stage)}}
+        hosts = {host: stage.proxy.hosts[host].entry.hash % 10 for host in range(10)}
+        once = {
+            host: interface.SendPeerReport(hosts[host], host, interface.FAULT_SEEN)
+            for host in {e.host for e in told(stage)}
+        }
         self.assertCountEqual(told(stage), once.values())  # a host at most once a second
-        stage = Stage(fleet(10), proxies=10, peers=True, position=3)
+        stage = Stage(fleet(10), proxies=10, peer_reports=True, position=3)
         mine = next(host for host, counts in hosts.items() if counts == 3)
         for sender, many in ((1, 0), (1, 0), (3, 0), (-1, 0), (10, 0), (2, 0), (5, 1)):  # absurd ones
-            stage.tell(i.NewsCame(sender, mine, i.MET_FAULT))
-            self.assertEqual(told(stage), [i.TellNews(None, mine, i.AT_FAULT)] * many)
+            stage.tell(interface.PeerReportReceived(sender, mine, interface.FAULT_SEEN))
+            self.assertEqual(
+                told(stage), [interface.SendPeerReport(None, mine, interface.FAULT_CONFIRMED)] * many
+            )
         for wait, got in ((40_000, False), (0, True)):
             stage.many(30)
             self.assertEqual(bool(stage.hosts[mine].got), got)
@@ -565,10 +590,10 @@
 
     def test_only_the_one_who_counts_is_believed_and_never_for_many_hosts(self):
         for believed in (False, True):
-            stage = Stage(fleet(10), proxies=10, peers=True, position=3)
-            for host, server in [(999, None), *stage.proxy.servers.items()]:
+            stage = Stage(fleet(10), proxies=10, peer_reports=True, position=3)
+            for host, server in [(999, None), *stage.proxy.hosts.items()]:
                 for sender in range(-1, 12):
-                    if server is None or believed == (sender == server.line.hash % 10):
-                        stage.tell(i.NewsCame(sender, host, i.AT_FAULT))
-            away = sum(stage.now < s.shut for s in stage.proxy.servers.values())
+                    if server is None or believed == (sender == server.entry.hash % 10):
+                        stage.tell(interface.PeerReportReceived(sender, host, interface.FAULT_CONFIRMED))
+            away = sum(stage.now < s.verdict_until for s in stage.proxy.hosts.values())
             self.assertIn(away, (1, 2, 3) if believed else (0,))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -68,8 +68,8 @@
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
             self.assertEqual((failures, [found for _, found in self.log.hops()]), ([], [outcome]))
-            servers = self.service.owner.proxy.servers.values()
-            self.assertEqual(any(server.away for server in servers), outcome == "unreachable")
+            servers = self.service.owner.proxy.hosts.values()
+            self.assertEqual(any(server.excluded_until for server in servers), outcome == "unreachable")
             await self.stop()
 
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -14,7 +14,7 @@
 from basalthook.fleet.verdicts import HOST, LIVES, MOST_OUT, OUT, TRIAL, Verdicts, judge, lone, ranks, subject
 from basalthook.lab import decisions, scenario
 from basalthook.lab.start import settings
-from basalthook.policy import interface as i
+from basalthook.policy import interface
 from basalthook.policy.decide import Proxy
 
 BASE = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
@@ -193,12 +193,15 @@
 class Liars(unittest.TestCase):
     def setUp(self):
         told = scenario.parse(BASE, "x")
-        agreed = terms.agreement(settings(told, 0, "a"))
+        agreed = terms.policy_settings(settings(told, 0, "a"))
         self.proxy = Proxy(agreed, 1, 0)
         self.proxy.handle(
             0,
-            i.HostsListed(
-                tuple(i.Host(n, terms.number(f"host-{n}"), "a", 0, True, 1.0, None) for n in range(20)),
+            interface.HostListReceived(
+                tuple(
+                    interface.HostEntry(n, terms.stable_number(f"host-{n}"), "a", 0, True, 1.0, None)
+                    for n in range(20)
+                ),
                 True,
                 True,
             ),
@@ -209,10 +212,10 @@
     def test_every_member_tells_that_all_hosts_are_out_and_most_stay_open(self):
         now = 1_000_000
         for n in range(30):
-            for server in self.proxy.servers.values():
+            for server in self.proxy.hosts.values():
                 blame = word(f"p{n}", now - 100, lost=9)._replace(told=now)
                 self.table.take(
-                    now, Fact(f"p{n}", 1, HOST, subject(server.line), server.id + 1, plain("a", blame), 0)
+                    now, Fact(f"p{n}", 1, HOST, subject(server.entry), server.id + 1, plain("a", blame), 0)
                 )
         judged = self.mind.look(now, now)
         shut = {host for host, until, _ in judged.hosts if until > now}
@@ -221,8 +224,8 @@
         sent = {
             effect.host
             for n in range(200)
-            for effect in self.proxy.handle(now, i.TxArrived(n, 0, Random(n).getrandbits(40), 20_000))
-            if isinstance(effect, i.SendHop)
+            for effect in self.proxy.handle(now, interface.TxArrived(n, 0, Random(n).getrandbits(40), 20_000))
+            if isinstance(effect, interface.SendAttempt)
         }
         self.assertFalse(sent & shut)
         self.assertGreater(len(sent), 8)
@@ -230,35 +233,42 @@
         later = now + LIVES[TRIAL] + LIVES[HOST]
         self.mind.look(later, later)
         self.assertFalse(any(s.state == OUT for s in self.mind.states.values()))
-        self.assertFalse(any(later < server.whole for server in self.proxy.servers.values()))
+        self.assertFalse(any(later < server.ramp_until for server in self.proxy.hosts.values()))
 
     def test_a_verdict_opens_nothing_that_the_proxy_itself_keeps_shut(self):
-        self.proxy.handle(0, i.HostsListed((i.Host(3, 3, "a", 0, False, 1.0, None, "", True),), False, True))
-        self.proxy.keep_away(self.proxy.servers[4], "ban", 50_000)
-        self.proxy.handle(0, i.Judged(((3, 0, 0), (4, 0, 0)), 3))
+        self.proxy.handle(
+            0,
+            interface.HostListReceived(
+                (interface.HostEntry(3, 3, "a", 0, False, 1.0, None, "", True),), False, True
+            ),
+        )
+        self.proxy.exclude(self.proxy.hosts[4], "ban", 50_000)
+        self.proxy.handle(0, interface.HostVerdicts(((3, 0, 0), (4, 0, 0)), 3))
         for n in range(200):
             self.assertFalse(
                 {
                     e.host
-                    for e in self.proxy.handle(10, i.TxArrived(n, 0, n, 20_000))
-                    if isinstance(e, i.SendHop)
+                    for e in self.proxy.handle(10, interface.TxArrived(n, 0, n, 20_000))
+                    if isinstance(e, interface.SendAttempt)
                 }
                 & {3, 4}
             )
 
     def test_a_trial_is_a_repeatable_hop_cut_short_that_goes_on_elsewhere(self):
-        self.proxy.handle(0, i.Judged(((5, 90_000, 99_000),), 5))
+        self.proxy.handle(0, interface.HostVerdicts(((5, 90_000, 99_000),), 5))
         for profile, tried in ((1, False), (0, True), (0, False)):
             sends = [
                 e
-                for e in self.proxy.handle(10, i.TxArrived(profile + 7 * tried, profile, 1, 20_000))
-                if isinstance(e, i.SendHop)
+                for e in self.proxy.handle(10, interface.TxArrived(profile + 7 * tried, profile, 1, 20_000))
+                if isinstance(e, interface.SendAttempt)
             ]
             self.assertEqual(sends[0].host == 5, tried)
             if tried:
                 self.assertLess(sends[0].time_limit, 2_001)  # a third of the goal
-                again = self.proxy.handle(2_010, i.HopEnded(7, 0, 5, i.TIMED_OUT, 2_000, False))
-                self.assertTrue([e for e in again if isinstance(e, i.SendHop) and e.host != 5])
+                again = self.proxy.handle(
+                    2_010, interface.AttemptEnded(7, 0, 5, interface.TIMED_OUT, 2_000, False)
+                )
+                self.assertTrue([e for e in again if isinstance(e, interface.SendAttempt) and e.host != 5])
 
 
 if __name__ == "__main__":
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -21,7 +21,7 @@
         """As the decisions get it; `started`: in ticks, None: long ago."""
         line = Line(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK)
         listing = Listing(1, False, (line,))
-        return self.roster.told(listing, answered).hosts[0].started
+        return self.roster.told(listing, answered).hosts[0].started_at
 
     def test_a_start_told_while_this_clock_is_an_hour_ahead_is_a_new_one(self):
         self.told(None)
