--- a/basalthook/policy/interface.py
+++ b/basalthook/policy/interface.py
@@ -1,141 +1,157 @@
-"""What goes in and out of the decisions: events and start-up terms in, effects out. Nothing is decided here.
+"""The interface of the decisions: settings and events in, effects out. Nothing is decided here.
 
-Any protocol can drive the decisions. It builds one `decide.Proxy(agreement, seed, now)` for each client
-process, hands it every event below with the present time, in order of arrival, and carries out the
-effects that come back, in order. Times are whole tenths of a millisecond on the caller's clock; waits that
-a rule bounds are rounded down and cold times up. Transactions and hosts are whole numbers chosen by the
-caller, never used again for another one; a key and a host's `hash` are the same number at every proxy.
+Any protocol can drive the decisions. It builds one `decide.Proxy(settings, seed, now)` for each client
+process, passes it every event below with the present time, in order of arrival, and carries out the effects
+that it returns, in order. Times are integers in ticks of 0.1 ms on the caller's clock; upper bounds of waits
+are rounded down and slow start times up. Transactions and hosts are integers chosen by the caller and never
+reused; a key and a host's `hash` are the same number at every proxy.
 """
 
 from typing import NamedTuple
 
-# Kinds of profile: what a repeat does.
+# Kinds of profile: a repeat does no harm; is discarded in its repeat group and window; runs a second time.
 IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT = "idempotent", "journalled", "non-idempotent"
-# Repeat groups: which hosts discard repeats of a journalled transaction.
+# Repeat groups: the hosts that discard repeats of a journalled transaction.
 EVERYWHERE, ZONE, CELL = "everywhere", "zone", "cell"
-# Outcomes of a hop. Of REFUSED, UNREACHABLE, DROPPED and UNSENT it is certain that nothing ran.
+# Outcomes of an attempt. After REFUSED, UNREACHABLE, DROPPED and UNSENT it is certain that nothing ran.
 COMMITTED, ERROR, TIMED_OUT, RESET = "committed", "error", "timed out", "reset"
 CANCELLED, REFUSED, UNREACHABLE, UNSENT = "cancelled", "refused", "unreachable", "unsent"
-DROPPED = "dropped"  # the host's machine took the connection, and it broke before all was written
-DECLINED = "declined"  # the host answered that the transaction itself is wrong: its last word, like a commit
+DROPPED = "dropped"  # the connection was accepted, and broke before the whole request was written
+DECLINED = "declined"  # the host answered that the transaction itself is wrong: final, like a commit
 
-# Why an attempt that was decided may not begin any more; asked right before its first byte.
+# Why an attempt decided on earlier may no longer begin; checked right before its first byte.
 REQUEST_OVER, OUT_OF_TIME, REPEAT_NOT_ALLOWED = "request over", "out of time", "repeat not allowed"
 ENDPOINT_LEAVING, PLACEMENT, CLIENT_GONE = "endpoint leaving", "placement", "client gone"
 
-# News of a host: one proxy met a fault there, told to the one who counts; many did, told to all.
+# Peer reports on a host: one proxy met a fault (sent to the proxy that counts); many did (sent to all).
 FAULT_SEEN, FAULT_CONFIRMED = "met fault", "at fault"
 
 
 class Profile(NamedTuple):
-    kind: str  # one of the three kinds
-    group: str  # repeat group and window: journalled only
-    repeat_window: int
-    service_goal: int
-    zones: frozenset | None = None  # it goes to hosts in these only; None: in any
-    host_kinds: frozenset | None = None  # and to hosts of these kinds only
+    """A class of transactions."""
+
+    kind: str  # IDEMPOTENT, JOURNALLED or NON_IDEMPOTENT
+    group: str  # repeat group; journalled profiles only
+    repeat_window: int  # ticks for which repeats are discarded; journalled profiles only
+    service_goal: int  # latency objective in ticks
+    zones: frozenset | None = None  # placement: only hosts in these zones; None: any
+    host_kinds: frozenset | None = None  # placement: only hosts of these kinds; None: any
 
 
 class PolicySettings(NamedTuple):
-    """What the operator grants and demands, read once at start."""
+    """The operator's settings, read once at start; times in ticks."""
 
     profiles: tuple[Profile, ...]
-    position: int  # this proxy among its fellows, from 0
+    position: int  # index of this proxy among all, from 0
     proxies: int
     zone: str
-    cross_zone_price: float  # points lost where every transaction crosses zones once, of 1
-    warm_keys: bool  # a host that met a key lately does less work for it
-    list_on_request: bool  # the host list comes only to those who ask
-    list_poll_interval: int
-    slow_start_share: float  # a fresh host has at least this share of its capacity
+    cross_zone_price: float  # share of the service score lost if every transaction crosses zones once
+    warm_keys: bool  # a host that has seen a key recently does less work for it
+    list_on_request: bool  # the host list must be requested; else it is pushed
+    list_poll_interval: int  # within which the list must be requested again
+    slow_start_share: float  # a new host process has at least this share of its capacity
     slow_start_time: int  # and all of it after this time
-    overload_factor: float  # sent more than this multiple of present capacity ...
-    overload_time: int  # ... for this long, a cold host falls
+    overload_factor: float  # a cold host fails if sent more than this multiple of its present capacity ...
+    overload_time: int  # ... for this long
     max_attempts: int
-    can_cancel: bool
-    max_retry_after: int  # longest come-back time that clients are told; 0: none
-    live_weights: bool = False  # listed weights are size / (1 + transactions held a core), and late
-    peer_reports: bool = False  # proxies may tell one another news, which may be lost
-    use_unlisted: bool = False  # hosts gone or left out, but not seen draining, may be sent to
-    drain_grace: int = 0  # after it was told that a host drains nothing goes there
+    can_cancel: bool  # open attempts may be cancelled
+    max_retry_after: int  # longest retry-after time that clients are given; 0: none
+    live_weights: bool = False  # listed weights are capacity / (1 + transactions held a core), and late
+    peer_reports: bool = False  # proxies may send one another reports, which may be lost
+    use_unlisted: bool = False  # hosts not on the list may be sent to, unless they were seen draining
+    drain_grace: int = 0  # from news that a host drains until nothing may be sent there
 
 
 class HostEntry(NamedTuple):
-    """One line of the host list."""
+    """One entry of the host list."""
 
     host_id: int
     hash: int
     zone: str
     cell: int
     ready: bool  # false: draining or gone
-    weight: float  # its size; or, by the agreement, what its load leaves of it
-    started_at: int | None  # None: long ago
-    kind: str = ""  # a make of machine, for placement; "": not told
-    draining: bool = False  # where not ready: it is finishing, not gone
+    weight: float  # its capacity; with `live_weights`, what its load leaves of it
+    started_at: int | None  # None: long ago, it is warm
+    kind: str = ""  # machine type, for placement; "": unknown
+    draining: bool = False  # if not ready: it still finishes its work; else it is gone
 
 
 # Events
 
 
 class HostListReceived(NamedTuple):
+    """A host list, or a part of it that has changed."""
+
     hosts: tuple[HostEntry, ...]
-    complete: bool  # the whole list: a host that is not in it is gone
-    from_discovery: bool  # false: the list held from before, nobody was asked
+    complete: bool  # the whole list: hosts that are not in it are gone
+    from_discovery: bool  # false: the list known from before, without a request
 
 
 class HostListFailed(NamedTuple):
-    pass
+    """A list request failed, or an open watch broke."""
 
 
 class TxArrived(NamedTuple):
+    """A client asks for a transaction."""
+
     tx: int
     profile: int  # index in PolicySettings.profiles
     key: int | None
-    time_left: int  # what is left of it now
-    unread_for: int = 0  # since its last byte came in, where this process was late to look
-    tenant: int | None = None  # whose it is, where that is told
+    time_left: int  # until its hard limit
+    unread_for: int = 0  # time since its last byte came in, if this process was late to read it
+    tenant: int | None = None  # None: unknown
 
 
 class AttemptEnded(NamedTuple):
+    """An attempt has ended with one of the outcomes above."""
+
     tx: int
-    attempt: int
+    attempt: int  # 0 for the first of its transaction
     host: int
     outcome: str
-    elapsed: int
+    elapsed: int  # ticks since it was sent
     final: bool  # the transaction has its final answer
-    unread_for: int = 0  # its answer lay here unread for this long; not in `elapsed`
+    unread_for: int = 0  # ticks that its answer lay here unread; not part of `elapsed`
 
 
 class StreamStarted(NamedTuple):
+    """The answer of this attempt is being passed on to the client: no other one can follow."""
+
     tx: int
     attempt: int
 
 
 class ClientDisconnected(NamedTuple):
+    """The client has left before its answer."""
+
     tx: int
 
 
 class TimerDue(NamedTuple):
+    """A timer of SetTimer is due."""
+
     timer_id: int
 
 
 class ProcessCount(NamedTuple):
-    processes: int  # so many of this proxy live at present, within the limits of one
+    """Processes of this proxy that now run side by side, during an upgrade, and share the limits of one."""
+
+    processes: int
 
 
 class HostVerdicts(NamedTuple):
-    """What whoever speaks for the fleet holds of hosts, beside what this proxy knows itself."""
+    """The fleet's verdicts on hosts, in addition to what this proxy knows itself."""
 
-    hosts: tuple  # (host, kept away until, a growing part of all until)
-    trial: int | None = None  # one of these that this proxy is to try once; None: none
+    hosts: tuple  # (host, shut out until, then a growing share of attempts until)
+    trial: int | None = None  # one of these hosts, which this proxy is to try once; None: none
 
 
 class LimitsUpdated(NamedTuple):
-    """What the fleet's limits leave this proxy from now on; what is not named stays as it was told."""
+    """What the fleet's limits leave this proxy from now on; keys that are not named keep what they have."""
 
-    rows: tuple  # (key, so many always, so many more until, until); keys see below
-    aliases: tuple = ()  # (key, the key whose row it shares)
-    retry_after: int = 0  # for those refused for want of them; 0: more may come within moments
+    rows: tuple  # (key, number without end, number on top of it, end of that); for keys see below
+    aliases: tuple = ()  # (key, key whose row it shares)
+    retry_after: int = 0  # for transactions refused by a limit; 0: the limit may soon leave more
 
 
 # Keys of limits: (PER_HOST, host), (FIRST_ATTEMPT, profile), (FURTHER_ATTEMPT, None). None in place of a
@@ -144,54 +160,66 @@
 
 
 class PeerReportReceived(NamedTuple):
-    """For the decider beside the decisions that counts news (`fleet.counting`)."""
+    """For the component that counts reports (`fleet.counting`), which wraps the decisions."""
 
-    sender: int  # another proxy's position; whatever it says is no more than its word
+    sender: int  # position of the proxy that claims this; not verified
     host: int
-    report: str
+    report: str  # FAULT_SEEN or FAULT_CONFIRMED
 
 
 # Effects
 
 
 class SendAttempt(NamedTuple):
+    """Send the transaction to a host, as its next attempt."""
+
     tx: int
     host: int
-    time_limit: int
+    time_limit: int  # ticks
 
 
 class RollBack(NamedTuple):
+    """Answer the client with a rollback: asking again does no harm."""
+
     tx: int
-    retry_after: int  # 0: nothing said
+    retry_after: int  # ticks; 0: no such time is given
     reason: str = ""  # for the log
 
 
 class Abandon(NamedTuple):
+    """Answer the client that the outcome is unknown: it may have run and must not be repeated."""
+
     tx: int
-    reason: str = ""
+    reason: str = ""  # for the log
 
 
 class CancelAttempt(NamedTuple):
+    """Cancel an open attempt."""
+
     tx: int
     attempt: int
 
 
 class RequestHostList(NamedTuple):
-    pass
+    """Request the host list, or a watch on it."""
 
 
 class ReportHostFault(NamedTuple):
-    host: int  # a host fault, not a transaction's own; given where `peers` allows news
+    """This proxy met a fault of a host, not of the transaction; only with `peer_reports`."""
+
+    host: int
 
 
 class SendPeerReport(NamedTuple):
-    """Of the decider that counts news."""
+    """An effect of the component that counts reports."""
 
-    peer: int | None  # a position; None: all
+    peer: int | None  # position of the recipient; None: all
     host: int
     report: str
 
 
 class SetTimer(NamedTuple):
-    delay: int
+    """Return TimerDue with this id after the delay."""
+
+    delay: int  # ticks
     timer_id: int
--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -1,4 +1,4 @@
-"""Counting and hashing for the decisions; nothing is decided here, thresholds are handed in."""
+"""Counting and hashing for the decisions. Decides nothing: thresholds are arguments. Times are in ticks."""
 
 from collections import OrderedDict, deque
 from math import exp, log
@@ -9,7 +9,7 @@
 
 
 class SlidingWindow:
-    """How often something happened lately; what is older than the span is let go at each use."""
+    """Counts events within the last `span`; older ones are dropped at each use."""
 
     __slots__ = ("span", "times")
 
@@ -31,15 +31,16 @@
     """Weighted rendezvous hashing over a fixed set: the host with the least claim on a key comes first.
 
     A host's claim is -log(u) / weight, u in (0, 1] by a mix of key and hash; each host is first for a part of
-    all keys in proportion to its weight. One pass over a wide whole number, a lane of 128 bits a host, mixes
-    for all of them, and a bound that some `few` claims keep under spares the rest a logarithm and the sort.
-    Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous", 1996; mix of splitmix64.
+    all keys in proportion to its weight. The mix is computed for all hosts in one pass over a long integer
+    with a lane of 128 bits a host. A bound that about `leader_count` claims are below saves the others a
+    logarithm and the sort. Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous",
+    1996; mix of splitmix64.
     """
 
     def __init__(self, hosts: list, hashes: list[int], weights: list[float], leader_count: int = 16) -> None:
-        self.hosts, self.weights, wide = hosts, weights, 16 * len(hosts)
+        self.hosts, self.weights, size = hosts, weights, 16 * len(hosts)
         self.lane_ones = int.from_bytes(b"\1".ljust(16, b"\0") * len(hosts), "little")
-        self.lane_mask, self.byte_count = self.lane_ones * LANE_MASK, wide
+        self.lane_mask, self.byte_count = self.lane_ones * LANE_MASK, size
         self.hashes = int.from_bytes(
             b"".join((h & LANE_MASK).to_bytes(16, "little") for h in hashes), "little"
         )
@@ -60,18 +61,18 @@
         return [self.hosts[n] for n in sorted(claims, key=claims.__getitem__)]
 
     def leaders(self, key: int) -> list:
-        """About `few` hosts that lead the order, seldom none."""
+        """The first hosts of the order: about `leader_count`, rarely none."""
         mixed = self.mixed_hashes(key)
-        near = [n for n, (x, least) in enumerate(zip(mixed, self.thresholds, strict=True)) if x >= least]
-        return self.sorted(near, mixed)
+        first = [n for n, (x, least) in enumerate(zip(mixed, self.thresholds, strict=True)) if x >= least]
+        return self.sorted(first, mixed)
 
     def order(self, key: int) -> list:
-        """All of them; it begins with what `first` gives."""
+        """All hosts in order; begins with `leaders`."""
         return self.sorted(range(len(self.hosts)), self.mixed_hashes(key))
 
 
 class Latency:
-    """Of one profile: its mean and deviation, and what it is with little waiting; never under `least`."""
+    """Latency of one profile: mean, deviation, and `base`, with little queueing (at least `floor`)."""
 
     def __init__(self, goal: int, floor: float) -> None:
         self.mean = self.deviation = self.base = self.slow_mean = goal / 8
@@ -81,7 +82,7 @@
         error = elapsed - self.mean
         self.mean += error * 0.05
         self.deviation += (abs(error) - self.deviation) * 0.05
-        self.slow_mean += (elapsed - self.slow_mean) * 0.01  # steady: few are very heavy
+        self.slow_mean += (elapsed - self.slow_mean) * 0.01  # slow, as single transactions are very heavy
         gap = self.slow_mean - self.base
         self.base = max(self.base + gap * (0.02 if gap < 0 else 0.00005), self.floor)
 
@@ -91,26 +92,27 @@
 
 
 class RecentPlaces:
-    """Where each key was met lately: aged by the span, and the oldest keys let go beyond so many."""
+    """Places at which each key was seen within `span`; beyond `max_keys` the oldest keys are dropped."""
 
     def __init__(self, span: int, max_keys: int) -> None:
         self.span, self.max_keys, self.seen_at = span, max_keys, OrderedDict()
 
     def add(self, key, place, now: int) -> dict:
-        seen = {p: at for p, at in self.seen_at.pop(key, {}).items() if at > now - self.span}
-        seen[place], self.seen_at[key] = now, seen
+        places = {p: at for p, at in self.seen_at.pop(key, {}).items() if at > now - self.span}
+        places[place], self.seen_at[key] = now, places
         if len(self.seen_at) > self.max_keys:
             self.seen_at.popitem(last=False)
-        return seen
+        return places
 
     def drop(self, key) -> None:
         self.seen_at.pop(key, None)
 
 
 class SlowGroups:
-    """The share of slow answers of each group of a sort; the groups longest unheard go beyond so many.
+    """The share of slow answers of each group; beyond `max_groups` those longest without answers are dropped.
 
-    `known`: answers that make a share worth comparing; three times as many, worth acting on.
+    A group is (sort, id), compared with others of its sort. `min_answers`: needed to compare with a group;
+    three times as many are needed to act on its own share.
     """
 
     def __init__(self, span: int, max_groups: int, min_answers: int) -> None:
@@ -132,27 +134,31 @@
         return max(self.group_excess(group, now) for group in groups)
 
     def group_excess(self, group: tuple, now: int) -> float:
-        """By how much its share is over the least of another of its sort; 0 where too little is known."""
+        """How far its share exceeds the lowest of the others of its sort; 0 with too few answers."""
         found = self.stats.get(group)
         others = [
             share
-            for (sort, which), (share, answers, at) in self.stats.items()
-            if sort == group[0] and which != group[1] and answers >= self.min_answers and at > now - self.span
+            for (sort, group_id), (share, answers, at) in self.stats.items()
+            if sort == group[0]
+            and group_id != group[1]
+            and answers >= self.min_answers
+            and at > now - self.span
         ]
         return found[0] - min(others) if found and others and found[1] >= 3 * self.min_answers else 0.0
 
 
 class Allowance:
-    """What limits leave: by key, so many always, and so many more until a moment; without a row, any number.
+    """What limits leave by key: a number without end, and one on top of it until some time; no row, no limit.
 
-    A key's number of None stands for all that are not named; `same` has keys that share another one's row.
+    None as a key's number stands for all that are not named; `aliases` maps keys to the key whose row they
+    share.
     """
 
     def __init__(self) -> None:
-        self.rows: dict[tuple, tuple] = {}  # as many as hosts and profiles
-        self.used: dict[tuple, int] = {}  # since the row was told
+        self.rows: dict[tuple, tuple] = {}  # at most one for each host and profile
+        self.used: dict[tuple, int] = {}  # since the row was set
         self.aliases: dict[tuple, tuple] = {}
-        self.retry_after = 0  # a come-back time for those whom limits refuse; 0: none yet
+        self.retry_after = 0  # ticks, for those that a limit refuses; 0: none known
 
     def update(self, event: interface.LimitsUpdated) -> None:
         self.retry_after = event.retry_after
--- a/basalthook/terms.py
+++ b/basalthook/terms.py
@@ -1,10 +1,10 @@
-"""Start-up settings, list lines and ids in the module's words, the same for every protocol that drives it."""
+"""Converts start-up settings, host list entries and ids to the types of policy.interface."""
 
 from hashlib import blake2b
 
 from .policy import interface
 
-TICK_NS = 100_000  # nanoseconds
+TICK_NS = 100_000
 
 REPEAT_KINDS = {
     "repeatable": interface.IDEMPOTENT,
@@ -15,7 +15,7 @@
 
 
 def stable_number(text: str) -> int:
-    """The same whole number for a word in every process."""
+    """A number for a text that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
 
 
@@ -26,34 +26,34 @@
 def choice(setup: dict, name: str, choices: tuple[str, ...], default: str | None = None) -> str:
     found = setup[name] if default is None else setup.get(name, default)
     if not isinstance(found, str) or found not in choices:
-        raise ValueError(f"settings.{name}: {found!r} is none of {', '.join(choices)}")
+        raise ValueError(f"settings.{name}: {found!r} is not one of {', '.join(choices)}")
     return found
 
 
 def integer(setup: dict, name: str, least: int) -> int:
     found = setup[name]
     if isinstance(found, bool) or not isinstance(found, int) or found < least:
-        raise ValueError(f"settings.{name}: {found!r} is no whole number from {least} up")
+        raise ValueError(f"settings.{name}: {found!r} is not an integer >= {least}")
     return found
 
 
 def boolean(group: dict, name: str, of: str = "allowed") -> bool:
     found = group.get(name, False)
     if not isinstance(found, bool):
-        raise ValueError(f"settings.{of}.{name}: {found!r} is neither true nor false")
+        raise ValueError(f"settings.{of}.{name}: {found!r} is not a boolean")
     return found
 
 
 def name_set(profile: dict, name: str, known: list[str] | None) -> frozenset | None:
-    """Of a bound profile: where it may go. A misspelt place would keep it from running anywhere, unseen."""
+    """Zones or host kinds of a profile with placement; a misspelt name would silently allow no host."""
     found = profile.get(name)
     if found is None:
         return None
     if not isinstance(found, list) or not found or not all(isinstance(each, str) for each in found):
-        raise ValueError(f"settings.profiles[{profile['name']}].{name}: {found!r} is no list of names")
-    strange = sorted(set(found).difference(known or found))
-    if strange:
-        raise ValueError(f"settings.profiles[{profile['name']}].{name}: {strange[0]!r} is not known here")
+        raise ValueError(f"settings.profiles[{profile['name']}].{name}: {found!r} is not a list of names")
+    unknown = sorted(set(found).difference(known or found))
+    if unknown:
+        raise ValueError(f"settings.profiles[{profile['name']}].{name}: {unknown[0]!r} is not known here")
     return frozenset(found)
 
 
@@ -94,7 +94,7 @@
 
 
 def profile_indices(setup: dict) -> dict[str, int]:
-    """The numbers that stand for the profiles' names."""
+    """Profile names to their indices."""
     return {p["name"]: n for n, p in enumerate(setup["profiles"])}
 
 
@@ -109,8 +109,8 @@
     kind: str = "",
     draining: bool = False,
 ) -> interface.HostEntry:
-    """A line of the host list. `mark` is the number of what every proxy calls the host."""
+    """An entry of the host list. `hash_number`: stable_number of the host's name, the same at every proxy."""
     started = ticks_rounded_up(started_ns) if started_ns else None
-    # guards against a weight of nothing or less, which no share can be taken of
+    # a weight of zero or less would divide by zero and give shares below zero
     size = weight if weight and weight > 0 else 1.0
     return interface.HostEntry(host_id, hash_number, zone, cell, ready, size, started, kind, draining)
