--- a/basalthook/terms.py
+++ b/basalthook/terms.py
@@ -33,7 +33,7 @@
 def integer(setup: dict, name: str, least: int) -> int:
     found = setup[name]
     if isinstance(found, bool) or not isinstance(found, int) or found < least:
-        raise ValueError(f"settings.{name}: {found!r} is not an integer >= {least}")
+        raise ValueError(f"settings.{name}: {found!r} is not an integer of {least} or more")
     return found
 
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""What the decisions cost by kind of event, at 10, 50 and 500 hosts.
+"""Time that the decisions take by kind of event, at 10, 50 and 500 hosts.
 
-    python -m benchmarks.decisions
+python -m benchmarks.decisions
 
-Plays transactions against hosts that answer after 20 ms (150 where a line waits), in made time and without
-any socket, and prints a table of microseconds a call: median of rounds, by event. Compare columns, and
-states, of one run.
+Plays transactions against hosts that answer after 20 ms (150 ms where a queue waits), in virtual time and
+without sockets, and prints a table of microseconds a call: median of rounds, by event. Only figures of one
+run can be compared.
 """
 
 import statistics
@@ -20,13 +20,13 @@
 
 
 def play(count: int, transactions: int, waiting: bool) -> dict[str, float]:
-    """Mean microseconds a call for one proxy before `count` hosts; `waiting` keeps its line filled."""
+    """Mean microseconds a call for one proxy before `count` hosts; `waiting` keeps its queue filled."""
     from basalthook.policy import interface
     from basalthook.policy.decide import Proxy
 
     kinds = interface.IDEMPOTENT, interface.NON_IDEMPOTENT
     profiles = tuple(interface.Profile(kind, interface.EVERYWHERE, 0, 5_000) for kind in kinds)
-    agreed = interface.PolicySettings(
+    settings = interface.PolicySettings(
         profiles=profiles,
         position=0,
         proxies=4,
@@ -43,9 +43,9 @@
         can_cancel=True,
         max_retry_after=20_000,
         **({"second_copies": True} if "second_copies" in interface.PolicySettings._fields else {}),
-    )  # of older states
+    )  # older versions
     now, spent, calls, due = 1_000_000, dict.fromkeys(EVENTS, 0), dict.fromkeys(EVENTS, 0), []
-    proxy = Proxy(agreed, 1, now)
+    proxy = Proxy(settings, 1, now)
     hosts = tuple(
         interface.HostEntry(n, 7919 * (n + 1) ** 3, "north" if n % 2 else "south", n, True, 1.0, None)
         for n in range(count)
@@ -79,7 +79,7 @@
 
 
 @click.command()
-@click.option("--tree", default=".", show_default=True, help="The state whose decisions are measured.")
+@click.option("--tree", default=".", show_default=True, help="The tree whose decisions are measured.")
 @click.option("--rounds", default=5, show_default=True)
 @click.option("--transactions", default=5_000, show_default=True)
 def main(tree: str, rounds: int, transactions: int) -> None:
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""One tiny fake host, and a stage that plays a story of a proxy against a few of them."""
+"""Fake hosts, discovery and callers: in virtual time against the decisions, and on loopback sockets."""
 
 import asyncio
 import itertools
@@ -9,7 +9,7 @@
 from basalthook.policy.decide import Proxy
 from basalthook.recovery.following import Asking, Following
 
-IDEMPOTENT, SCAN_CELL, NON_IDEMPOTENT, PUSH_ZONE, UPLOAD = range(5)
+IDEMPOTENT, JOURNALLED_CELL, NON_IDEMPOTENT, JOURNALLED_ZONE, JOURNALLED_EVERYWHERE = range(5)
 PROFILES = (
     interface.Profile(interface.IDEMPOTENT, interface.EVERYWHERE, 50_000, 6_000),
     interface.Profile(interface.JOURNALLED, interface.CELL, 6_000, 6_000),
@@ -19,7 +19,7 @@
 )
 
 
-TERMS = dict(
+POLICY_DEFAULTS = dict(
     profiles=PROFILES,
     position=0,
     proxies=4,
@@ -39,36 +39,38 @@
 
 
 class FakeHost:
-    """A host that gives one outcome to whatever reaches it; None keeps it silent."""
+    """A host with the same outcome for every attempt; None: it never answers."""
 
     def __init__(self, number, zone="a", cell=0, outcome=interface.COMMITTED, started=None, kind=""):
-        self.outcome, self.got = outcome, []
+        self.outcome, self.received = outcome, []
         self.line = interface.HostEntry(
             number, 7919 * (number + 1) ** 3, zone, cell, True, 1.0, started, kind
         )
 
 
 class Stage:
-    def __init__(self, hosts, seed=1, elapsed=300, **terms):
-        agreed = {**TERMS, **terms}
-        self.now, self.next, self.elapsed = 1_000_000, 0, elapsed
+    """The decisions of one proxy against fake hosts, in virtual time; `elapsed`: ticks for each attempt."""
+
+    def __init__(self, hosts, seed=1, elapsed=300, **settings):
+        merged = {**POLICY_DEFAULTS, **settings}
+        self.now, self.next_tx, self.elapsed = 1_000_000, 0, elapsed
         self.hosts = {h.line.host_id: h for h in hosts}
-        self.proxy = Proxy(interface.PolicySettings(**agreed), seed, self.now)
-        self.mind = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
-        self.record, self.answers, self.hops, self.timers = [], {}, {}, []
-        self.run(self.mind.begin())
-        self.tell(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
+        self.proxy = Proxy(interface.PolicySettings(**merged), seed, self.now)
+        self.handler = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
+        self.effects, self.answers, self.hops, self.timers = [], {}, {}, []
+        self.run(self.handler.begin())
+        self.deliver(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
 
-    def tell(self, event):
-        self.run(self.mind.handle(self.now, event))
+    def deliver(self, event):
+        self.run(self.handler.handle(self.now, event))
 
     def run(self, effects):
         for effect in effects:
-            self.record.append(effect)
+            self.effects.append(effect)
             if isinstance(effect, interface.SendAttempt):
                 hop = self.hops[effect.tx] = self.hops.get(effect.tx, -1) + 1
                 host = self.hosts[effect.host]
-                host.got.append(effect.tx)
+                host.received.append(effect.tx)
                 if host.outcome is not None:
                     self.now += self.elapsed
                     self.end(effect.tx, hop, effect.host, host.outcome)
@@ -82,66 +84,69 @@
         closed = outcome == interface.COMMITTED
         if closed:
             self.answers.setdefault(tx, interface.COMMITTED)
-        self.tell(interface.AttemptEnded(tx, hop, host, outcome, elapsed or self.elapsed, closed))
+        self.deliver(interface.AttemptEnded(tx, hop, host, outcome, elapsed or self.elapsed, closed))
 
     def arrive(self, profile=IDEMPOTENT, key=None, time_left=20_000, tenant=None):
-        tx, self.next = self.next, self.next + 1
-        self.tell(interface.TxArrived(tx, profile, key, time_left, tenant=tenant))
+        tx, self.next_tx = self.next_tx, self.next_tx + 1
+        self.deliver(interface.TxArrived(tx, profile, key, time_left, tenant=tenant))
         return tx
 
     def wait(self, time):
-        """Let time pass; timers fall due in order."""
+        """Advance the clock; timers fall due in order."""
         until = self.now + time
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.tell(interface.TimerDue(due[0][1]))
+            self.deliver(interface.TimerDue(due[0][1]))
         self.now = max(self.now, until)
 
-    def many(self, count, profile=IDEMPOTENT, key=None):
-        """So many arrive, each with a key of its own or all with this one."""
+    def arrive_many(self, count, profile=IDEMPOTENT, key=None):
+        """`count` transactions arrive, each with a key of its own or all with `key`."""
         for n in range(count):
             self.arrive(profile, key=n if key is None else key)
 
-    def turn(self, outcome):
+    def set_outcomes(self, outcome):
         for host in self.hosts.values():
             host.outcome = outcome
 
-    def crowd(self, strain):
+    def set_slowdown(self, strain):
         self.wait(30_000)
         self.proxy.slowdown = strain
 
-    def sends(self):
-        return [e.host for e in self.record if isinstance(e, interface.SendAttempt)]
+    def sent_to(self):
+        return [e.host for e in self.effects if isinstance(e, interface.SendAttempt)]
 
 
-# ---- the same on sockets
+# ---- on loopback sockets
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 SILENT, RESET = None, "reset"
 
 
 async def message(reader):
-    """Head and body of one message, read without the project's parser."""
+    """Read the head and body of one message, without the project's parser."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     length = [line for line in head.split("\r\n") if line.lower().startswith("content-length:")]
     return head, await reader.readexactly(int(length[0].split(":")[1])) if length else b""
 
 
 class SocketHost:
-    """A host that answers its requests in these ways, one after the other, and the last one ever after."""
+    """A host that gives these replies in turn, and repeats the last one.
+
+    SILENT: no reply; RESET: the connection is reset; a tuple: the connection is closed after the reply.
+    """
 
-    def __init__(self, *ways):
-        self.ways, self.writers, self.tasks = list(ways) or [OK], [], []
-        self.got, self.ended = asyncio.Queue(), asyncio.Queue()
+    def __init__(self, *replies):
+        self.replies, self.writers, self.tasks = list(replies) or [OK], [], []
+        self.received, self.disconnects = asyncio.Queue(), asyncio.Queue()
 
     async def start(self):
-        self.server = await asyncio.start_server(self.take, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
 
-    def take(self, reader, writer):
-        """Both at once: a stop between the two, before the task had run, once failed a whole suite."""
+    def accept(self, reader, writer):
+        """Records writer and task together: after a stop between the two, `stop` would miss one and fail."""
         self.writers.append(writer)
         self.tasks.append(asyncio.get_running_loop().create_task(self.serve(reader, writer)))
 
@@ -155,16 +160,16 @@
     async def serve(self, reader, writer):
         try:
             while True:
-                self.got.put_nowait(await message(reader))
-                way = self.ways.pop(0) if len(self.ways) > 1 else self.ways[0]
-                if way == RESET:
+                self.received.put_nowait(await message(reader))
+                reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
+                if reply == RESET:
                     return writer.transport.abort()
-                if way is not SILENT:
-                    writer.write(way[-1] if isinstance(way, tuple) else way)
-                if isinstance(way, tuple):  # its end comes with it
+                if reply is not SILENT:
+                    writer.write(reply[-1] if isinstance(reply, tuple) else reply)
+                if isinstance(reply, tuple):  # the end of the connection follows
                     return writer.close()
         except (OSError, asyncio.IncompleteReadError):
-            self.ended.put_nowait(True)
+            self.disconnects.put_nowait(True)
             writer.close()
 
     def line(self, name, **changes):
@@ -182,23 +187,23 @@
 
 
 class SocketDiscovery(SocketHost):
-    """Answers each watch as soon as the test tells it something."""
+    """Answers each watch with what the test publishes next."""
 
     async def start(self):
-        self.news = asyncio.Queue()
+        self.responses = asyncio.Queue()
         return await super().start()
 
     async def serve(self, reader, writer):
         while not reader.at_eof():
             try:
-                self.got.put_nowait((await message(reader))[0].split(" ")[1])
+                self.received.put_nowait((await message(reader))[0].split(" ")[1])
             except (OSError, asyncio.IncompleteReadError):
                 break
-            writer.write(await self.news.get())
+            writer.write(await self.responses.get())
 
-    def tell(self, version, *lines, full=False):
+    def publish(self, version, *lines, full=False):
         body = json.dumps({"version": version, "full": full, "servers": lines})
-        self.news.put_nowait(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+        self.responses.put_nowait(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
 SETTINGS = {
@@ -239,7 +244,7 @@
     mode="on_request",
     **changes,
 ):
-    """The start-up file of a proxy that knows these hosts."""
+    """Start-up settings of a proxy that already knows these hosts."""
     lines = [host.line(f"s-{n}") for n, host in enumerate(hosts)]
     return {
         "name": "n1",
@@ -254,11 +259,11 @@
 
 
 class Caller:
-    """An application's connection to its proxy."""
+    """A client's connection to its proxy."""
 
-    ids = itertools.count(5)
+    request_ids = itertools.count(5)
 
-    async def to(self, address):
+    async def connect(self, address):
         self.reader, self.writer = await asyncio.open_connection(*address)
         return self
 
@@ -266,17 +271,17 @@
         self.writer.transport.abort()
         await asyncio.gather(self.writer.wait_closed(), return_exceptions=True)
 
-    def ask(self, profile="view", timeout="2.0", body=b"", key="k1", more=""):
+    def send_request(self, profile="view", timeout="2.0", body=b"", key="k1", more=""):
         method = "POST" if profile == "submit" else "GET"
-        line = f"{method} /{profile} HTTP/1.1\r\nHost: s\r\nRequest-Id: {next(self.ids)}\r\n"
+        line = f"{method} /{profile} HTTP/1.1\r\nHost: s\r\nRequest-Id: {next(self.request_ids)}\r\n"
         fields = f"Request-Timeout: {timeout}\r\nCookie: k={key}\r\n{more}"
         size = f"Content-Length: {len(body)}\r\n" if body or profile == "submit" else ""
         self.writer.write(f"{line}{fields}{size}\r\n".encode() + body)
 
-    async def answer(self):
+    async def read_response(self):
         head, body = await message(self.reader)
         return int(head.split(" ")[1]), body, head
 
-    async def outcome(self, **request):
-        self.ask(**request)
-        return (await self.answer())[0]
+    async def status(self, **request):
+        self.send_request(**request)
+        return (await self.read_response())[0]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -37,7 +37,7 @@
         return await self.caller()
 
     async def caller(self):
-        caller = await Caller().to(self.listener.address)
+        caller = await Caller().connect(self.listener.address)
         self.addAsyncCleanup(caller.stop)
         return caller
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -47,11 +47,11 @@
         caller = await self.play(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
         self.settled(0)
         for _ in range(4):
-            caller.ask("submit")
+            caller.send_request("submit")
             head, body, whole = await self.read_on(caller)
             self.assertIn(" 200 ", head)
             self.assertEqual((body == LONG, whole, "Connection" in head), (True, True, False))
-        self.assertEqual(await caller.outcome(profile="submit"), 200)
+        self.assertEqual(await caller.status(profile="submit"), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
         self.assertEqual(self.log.hops(), [])
 
@@ -65,7 +65,7 @@
         ]
         caller = await self.play(SocketHost(*ways))
         for size in sizes:
-            caller.ask("submit")
+            caller.send_request("submit")
             _, body, whole = await self.read_on(caller)
             self.assertEqual((body, whole), (LONG[:size] + b"!", True), size)
 
@@ -74,33 +74,33 @@
         chunks = CHUNKED[:-12]
         caller = await self.play(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
         for _ in range(3):
-            caller.ask("submit")
+            caller.send_request("submit")
             _, _, whole = await self.read_on(caller)
             self.assertFalse(whole)
             caller = await self.caller()
 
     async def test_a_client_that_reads_nothing_halts_its_host_and_no_other_and_goes(self):
         first, second = await self.play(SocketHost(SILENT), SocketHost(SILENT)), await self.caller()
-        first.ask("submit")
+        first.send_request("submit")
         await asyncio.wait(
-            [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
+            [asyncio.ensure_future(h.received.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
         )
         with unittest.mock.patch("basalthook.bodies.relay.STALLED", 0.5):
             (writer,) = (w for h in self.hosts for w in h.writers)
             first.writer.transport.pause_reading()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n" + b"x" * 50_000_000)
             for host in self.hosts:
-                host.ways = [OK]
-            self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
+                host.replies = [OK]
+            self.assertEqual(await second.status(key="k2", profile="submit"), 200)
             await asyncio.wait_for(self.until(lambda: len(self.service.clients.open) == 1), 10)
         self.assertEqual(len(self.service.owner.orders), 0)
 
     async def test_a_client_that_goes_ends_its_hosts_connection(self):
         caller = await self.play(SocketHost(SIZED[:-1000]))
-        caller.ask("submit")
+        caller.send_request("submit")
         await caller.reader.readuntil(b"\r\n\r\n")
         await caller.stop()
-        self.assertTrue(await self.hosts[0].ended.get())
+        self.assertTrue(await self.hosts[0].disconnects.get())
 
     async def test_long_bodies_of_requests_reach_a_host_whole_and_a_second_one_after_it(self):
         refused = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -108,8 +108,8 @@
         for n in range(6):
             chunked = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG)
             caller.writer.write(HEAD % b"b%d" % n + (chunked if n % 2 else SENT))
-            self.assertEqual((await caller.answer())[0], 200)
-        got = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
+            self.assertEqual((await caller.read_response())[0], 200)
+        got = [host.received.get_nowait()[1] for host in self.hosts for _ in range(host.received.qsize())]
         self.assertEqual(len(got), 7)  # one was refused
         self.assertEqual({hashlib.sha256(body).digest() for body in got}, {hashlib.sha256(LONG).digest()})
         self.assertEqual(self.service.clients.room.held, 0)
@@ -127,12 +127,12 @@
         await self.until(lambda: self.service.clients.room.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
-            self.assertEqual((await caller.answer())[0], 200)
+            self.assertEqual((await caller.read_response())[0], 200)
         begin(first, 3, 100_000)
         await self.until(lambda: self.service.clients.room.held)
         with unittest.mock.patch("basalthook.routing.clients.NO_ROOM", 0.02):
             begin(second, 4, 100_000)
-            self.assertEqual((await second.answer())[0], 503)
+            self.assertEqual((await second.read_response())[0], 503)
         await first.stop()
         await self.until(lambda: not self.service.clients.room.held)
 
@@ -140,7 +140,7 @@
         caller = await self.play(SocketHost())
         with unittest.mock.patch.object(self.service.clients.door, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
-            self.assertEqual((await caller.answer())[0], 503)
+            self.assertEqual((await caller.read_response())[0], 503)
         self.assertEqual((self.service.clients.room.held, len(self.service.clients.open)), (0, 1))
 
     async def test_a_body_that_comes_slowly_is_a_good_client_and_one_that_stops_is_not(self):
@@ -150,9 +150,9 @@
             for at in range(0, 375_000, 37_500):
                 caller.writer.write(LONG[at : at + 37_500])
                 await asyncio.sleep(0.1)
-            self.assertEqual((await caller.answer())[0], 200)
+            self.assertEqual((await caller.read_response())[0], 200)
             caller.writer.write(HEAD % b"s2" + SENT[:200_000])
-            self.assertEqual((await caller.answer())[0], 408)
+            self.assertEqual((await caller.read_response())[0], 408)
         self.assertEqual(self.service.clients.room.held, 0)
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -23,17 +23,17 @@
         return caller
 
     async def call(self, method, path, data=None):
-        caller = await Caller().to(self.service.console.address)
+        caller = await Caller().connect(self.service.console.address)
         self.addAsyncCleanup(caller.stop)
         caller.writer.write(data or f"{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
-        status, body, head = await caller.answer()
+        status, body, head = await caller.read_response()
         self.assertEqual(await caller.reader.read(), b"")  # one call a connection
         return status, body, head
 
     async def health(self):
         caller = await self.caller()
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        return (await caller.answer())[0]
+        return (await caller.read_response())[0]
 
     async def test_every_call_has_its_answer_at_once_and_none_is_a_fault(self):
         await self.play(SocketHost())
@@ -65,7 +65,7 @@
 
     async def test_callers_that_finish_no_call_hold_up_none(self):
         await self.play(SocketHost())
-        slow = [await Caller().to(self.service.console.address) for _ in range(20)]
+        slow = [await Caller().connect(self.service.console.address) for _ in range(20)]
         for each in slow:
             each.writer.write(b"PUT /-/dr")
         await self.until(lambda: len(self.service.callers.open) == 12)
@@ -87,11 +87,11 @@
             [first.line("s-0", state="draining")],
         )
         for version, lines in enumerate(lists, 2):
-            self.discovery.tell(version, *lines, second.line("s-1"), full=not lines)
+            self.discovery.publish(version, *lines, second.line("s-1"), full=not lines)
             await self.until(lambda v=version: self.service.watch.version == v)
             for n in range(6):
-                self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
-        self.assertEqual(first.got.qsize(), 0)
+                self.assertEqual(await caller.status(key=f"k{n}"), 200)
+        self.assertEqual(first.received.qsize(), 0)
         told = json.loads((await self.call("GET", "/-/hosts"))[1].split(b"\n")[0])
         self.assertEqual((told["id"], told["out"], told["ready"]), ("s-0", True, False))
 
@@ -102,16 +102,16 @@
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
         server = next(s for s in self.service.owner.proxy.hosts.values() if s.entry.started_at)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
-        self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
+        self.discovery.publish(2, self.hosts[0].line("s-0", started_ms=1))  # the list runs behind
         await self.until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
         for n in itertools.count():
-            if host.got.qsize():
+            if host.received.qsize():
                 return
-            self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
+            self.assertEqual(await caller.status(key=f"k{n}"), 200)
 
     async def test_nothing_leaves_for_a_host_taken_out_while_its_connection_came_up(self):
         caller = await self.play(SocketHost())
@@ -125,24 +125,26 @@
             return fresh(address, come)
 
         self.service.pool.fresh = out_meanwhile
-        caller.ask("submit", timeout="0.3")
-        self.assertEqual((await caller.answer())[0], 503)
-        self.assertEqual((self.log.hops(), self.hosts[0].got.qsize()), ([("untried", interface.UNSENT)], 0))
+        caller.send_request("submit", timeout="0.3")
+        self.assertEqual((await caller.read_response())[0], 503)
+        self.assertEqual(
+            (self.log.hops(), self.hosts[0].received.qsize()), ([("untried", interface.UNSENT)], 0)
+        )
 
     async def test_all_hosts_out_gives_clear_answers(self):
         caller = await self.play(SocketHost(), SocketHost())
         for host in ("s-0", "s-1"):
             await self.call("PUT", f"/-/hosts/{host}/disable")
-        self.assertEqual(await caller.outcome(timeout="0.2"), 503)
+        self.assertEqual(await caller.status(timeout="0.2"), 503)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
 
     async def test_a_drain_sends_clients_away_and_cuts_no_request(self):
         idle, busy = await self.play(SocketHost(SILENT)), await self.caller()
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # without a drain: nothing
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        await idle.answer()
-        busy.ask("submit")
-        await self.hosts[0].got.get()
+        await idle.read_response()
+        busy.send_request("submit")
+        await self.hosts[0].received.get()
         silent = await self.caller()
         with unittest.mock.patch.multiple(
             "basalthook.routing.clients", LEAVE_IDLE=0.02, LEAVE_NEW=0.05, LOOK_AWAY=0.02
@@ -153,19 +155,19 @@
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual(await silent.reader.read(), b"")
         late = await self.caller()  # new ones still come for a moment
-        late.ask("submit", key="k2")
-        await self.hosts[0].got.get()
+        late.send_request("submit", key="k2")
+        await self.hosts[0].received.get()
         for writer in self.hosts[0].writers:
             writer.write(OK)
         for each in (busy, late):
-            status, _, head = await each.answer()
+            status, _, head = await each.read_response()
             self.assertEqual((status, "Connection: close" in head), (200, True))
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)
         self.assertEqual(await self.health(), 200)
-        self.hosts[0].ways = [OK]
+        self.hosts[0].replies = [OK]
         again = await self.caller()
-        again.ask()
-        status, _, head = await again.answer()
+        again.send_request()
+        status, _, head = await again.read_response()
         self.assertEqual((status, "Connection: close" in head), (200, False))
 
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -5,7 +5,7 @@
 
 from basalthook.policy import interface
 from basalthook.routing.owner import Answer
-from tests.fake import RESET, SILENT, UPLOAD, FakeHost, SocketHost, Stage
+from tests.fake import JOURNALLED_EVERYWHERE, RESET, SILENT, FakeHost, SocketHost, Stage
 from tests.loopback import Loopback
 
 REASONS = (
@@ -34,19 +34,19 @@
         fresh, connecting = self.service.pool.fresh, asyncio.Event()
 
         def late(address, up):
-            if not self.hosts[0].got.qsize() + self.hosts[1].got.qsize():
+            if not self.hosts[0].received.qsize() + self.hosts[1].received.qsize():
                 return fresh(address, up)
             connecting.set()
             return fresh(address, lambda fault: asyncio.get_running_loop().call_later(LATE, up, fault))
 
         self.service.pool.fresh = late
-        caller.ask("scan")
+        caller.send_request("scan")
         await connecting.wait()
         meanwhile()
         return caller
 
     def attempts(self):
-        return sum(host.got.qsize() for host in self.hosts)
+        return sum(host.received.qsize() for host in self.hosts)
 
     def refused(self):
         """Reasons for which attempts were not begun after all: of the log's lines, and as counted."""
@@ -55,29 +55,29 @@
 
     async def test_a_keyed_request_is_not_sent_again_after_its_window(self):
         caller = await self.retried()
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
+        self.assertEqual(((await caller.read_response())[0], self.attempts()), (502, 1))
         self.assertEqual(self.refused(), ([interface.REPEAT_NOT_ALLOWED], {interface.REPEAT_NOT_ALLOWED: 1}))
 
     async def test_a_keyed_request_is_sent_again_within_its_window(self):
         caller = await self.retried(window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 2))
+        self.assertEqual(((await caller.read_response())[0], self.attempts()), (502, 2))
 
     async def test_a_keyed_request_is_not_sent_to_an_endpoint_that_left_its_group(self):
         def leave():
-            (second,) = (n for n, host in enumerate(self.hosts) if not host.got.qsize())
-            self.discovery.tell(2, self.hosts[second].line(f"s-{second}", cell=1))
+            (second,) = (n for n, host in enumerate(self.hosts) if not host.received.qsize())
+            self.discovery.publish(2, self.hosts[second].line(f"s-{second}", cell=1))
 
         caller = await self.retried(leave, window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
+        self.assertEqual(((await caller.read_response())[0], self.attempts()), (502, 1))
         self.assertEqual(self.refused(), ([interface.PLACEMENT], {interface.PLACEMENT: 1}))
 
     async def test_nothing_is_sent_to_an_endpoint_that_began_to_drain_while_its_connection_came_up(self):
         def drain():
-            (second,) = (n for n, host in enumerate(self.hosts) if not host.got.qsize())
-            self.discovery.tell(2, self.hosts[second].line(f"s-{second}", state="draining"))
+            (second,) = (n for n, host in enumerate(self.hosts) if not host.received.qsize())
+            self.discovery.publish(2, self.hosts[second].line(f"s-{second}", state="draining"))
 
         caller = await self.retried(drain, window=1.9)
-        self.assertEqual(((await caller.answer())[0], self.attempts()), (502, 1))
+        self.assertEqual(((await caller.read_response())[0], self.attempts()), (502, 1))
         self.assertEqual(self.refused(), ([interface.ENDPOINT_LEAVING], {interface.ENDPOINT_LEAVING: 1}))
 
     async def test_nothing_is_sent_for_a_client_that_left_behind_the_first_bytes_of_its_next_request(self):
@@ -97,8 +97,8 @@
 
     async def test_an_answer_for_a_client_just_seen_to_have_left_is_no_fault(self):
         caller = await self.play(SocketHost(SILENT))
-        caller.ask("view")
-        await self.hosts[0].got.get()
+        caller.send_request("view")
+        await self.hosts[0].received.get()
         owner, (client,) = self.service.owner, self.service.clients.open
         (order,) = owner.orders.values()
         owner.running = True  # as within an event: what comes waits in the queue
@@ -111,12 +111,12 @@
 class Reasons(unittest.TestCase):
     def test_an_attempt_past_its_deadline_or_of_a_request_that_is_over_may_not_begin(self):
         stage = Stage([FakeHost(0, outcome=None)])
-        stage.arrive(UPLOAD, key=1)
-        (tx,) = stage.hosts[0].got
+        stage.arrive(JOURNALLED_EVERYWHERE, key=1)
+        (tx,) = stage.hosts[0].received
         self.assertIsNone(stage.proxy.start_refusal(stage.now, tx, 0))
         self.assertEqual(stage.proxy.start_refusal(stage.now + 10**6, tx, 0), interface.OUT_OF_TIME)
         self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 7), interface.ENDPOINT_LEAVING)
-        stage.tell(interface.ClientDisconnected(tx))
+        stage.deliver(interface.ClientDisconnected(tx))
         self.assertEqual(stage.proxy.start_refusal(stage.now, tx, 0), interface.REQUEST_OVER)
 
 
@@ -125,23 +125,23 @@
         cold = FakeHost(0, started=990_000, outcome=None)
         stage = Stage([cold])
         stage.proxy.commit_rate = 40.0
-        stage.many(40)
-        first = len(cold.got)
+        stage.arrive_many(40)
+        first = len(cold.received)
         self.assertIn(first, range(3, 40))
         stage.now += 10_000  # of a window of 30,000
-        self.assertEqual({stage.proxy.start_refusal(stage.now, tx, 0) for tx in cold.got}, {None})
-        for tx in list(cold.got):
+        self.assertEqual({stage.proxy.start_refusal(stage.now, tx, 0) for tx in cold.received}, {None})
+        for tx in list(cold.received):
             stage.end(tx, 0, 0, interface.COMMITTED)
         stage.now += 21_000
-        stage.many(40)
-        self.assertLessEqual(len(cold.got), first + 1)  # its slice has grown a little meanwhile
+        stage.arrive_many(40)
+        self.assertLessEqual(len(cold.received), first + 1)  # its slice has grown a little meanwhile
 
 
 class Refusals(unittest.TestCase):
     def test_a_keyed_request_that_may_have_run_is_not_refused_as_harmless_after_its_window(self):
         for elapsed, answer in ((1_000, interface.RollBack), (7_000, interface.Abandon)):
             stage = Stage([FakeHost(0, outcome=interface.RESET)], elapsed=elapsed, max_attempts=1)
-            self.assertEqual(stage.answers.get(stage.arrive(UPLOAD, key=1)), answer)
+            self.assertEqual(stage.answers.get(stage.arrive(JOURNALLED_EVERYWHERE, key=1)), answer)
 
 
 if __name__ == "__main__":
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -10,12 +10,14 @@
 from basalthook.policy import interface
 from basalthook.protocol import catalogue
 from basalthook.recovery.following import SILENT, URGENT_TRIES, Following
-from tests.fake import SETTINGS, TERMS, SocketDiscovery, SocketHost
+from tests.fake import POLICY_DEFAULTS, SETTINGS, SocketDiscovery, SocketHost
 from tests.loopback import Loopback
 
 
 def following(seed=1, **terms):
-    return Following(interface.PolicySettings(**{**TERMS, "drain_grace": 5_000, **terms}), Random(seed))
+    return Following(
+        interface.PolicySettings(**{**POLICY_DEFAULTS, "drain_grace": 5_000, **terms}), Random(seed)
+    )
 
 
 class Rule(unittest.TestCase):
@@ -122,15 +124,17 @@
     async def leaves(self, seconds, mode, then=int):
         """The watch has been answered once and then says nothing; the news is there for whoever asks anew."""
         caller = await self.play(SocketHost(), SocketHost(), mode=mode)
-        self.discovery.tell(2)
-        self.assertEqual([await self.discovery.got.get() for _ in range(2)][1].split("&")[0][-7:], "index=2")
+        self.discovery.publish(2)
+        self.assertEqual(
+            [await self.discovery.received.get() for _ in range(2)][1].split("&")[0][-7:], "index=2"
+        )
         then()
-        self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
-        self.discovery.news.put_nowait(b"")  # taken by the one that said nothing
-        self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
+        self.assertIn("index=2", await asyncio.wait_for(self.discovery.received.get(), seconds))
+        self.discovery.responses.put_nowait(b"")  # taken by the one that said nothing
+        self.discovery.publish(3, self.hosts[0].line("s-0", state="draining"))
         await self.until(lambda: not self.service.owner.roster.ready(0))
-        self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
-        self.assertEqual(self.hosts[0].got.qsize(), 0)
+        self.assertEqual({await caller.status(key=f"k{n}") for n in range(10)}, {200})
+        self.assertEqual(self.hosts[0].received.qsize(), 0)
         await self.until(lambda: len(self.service.watch.calls) == 1)
 
     async def test_the_first_watch_of_a_process_is_short_and_those_after_answers_grow(self):
@@ -140,9 +144,9 @@
             waits = []
             await self.play(SocketHost(), mode=mode, rules=rules)
             for _ in range(3):
-                line = await asyncio.wait_for(self.discovery.got.get(), 5)
+                line = await asyncio.wait_for(self.discovery.received.get(), 5)
                 waits.append(int(line.rsplit("wait=", 1)[1]))
-                self.discovery.tell(1)
+                self.discovery.publish(1)
             waits = [wait for wait in waits if wait]  # a pushed list is asked for once with none
             self.assertLessEqual(waits[0], longest)
             self.assertGreater(waits[-1], waits[0])
@@ -162,75 +166,75 @@
         # guards against news that counts at discovery's return, looked for on one silent connection alone
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.play(SocketHost(), mode="pushed", rules=rules)
-        self.discovery.tell(2)
-        await self.discovery.got.get(), await self.discovery.got.get()
+        self.discovery.publish(2)
+        await self.discovery.received.get(), await self.discovery.received.get()
         self.discovery.writers[-1].transport.abort()
-        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.3))
-        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.2))
+        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.received.get(), 0.3))
+        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.received.get(), 0.2))
 
     async def test_a_call_that_breaks_beside_a_silent_one_is_made_again_within_the_grace(self):
         # guards against news lost with an answer, while another call that says nothing is waited for
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.play(SocketHost(), rules=rules)
-        self.discovery.tell(2)
+        self.discovery.publish(2)
         for _ in range(3):  # the first, the silent one, and the one beside it
-            await asyncio.wait_for(self.discovery.got.get(), 2)
+            await asyncio.wait_for(self.discovery.received.get(), 2)
         self.discovery.writers[-1].transport.abort()
-        await asyncio.wait_for(self.discovery.got.get(), 0.3)
+        await asyncio.wait_for(self.discovery.received.get(), 0.3)
 
     async def test_a_list_of_changes_is_not_taken_for_the_whole_list_of_another_discovery(self):
         await self.play(SocketHost(), SocketHost())
-        await self.discovery.got.get()
+        await self.discovery.received.get()
         moved = await self.started(SocketDiscovery())
         self.service.watch.move(catalogue.address(moved.address))
-        self.assertEqual(await moved.got.get(), "/catalog/members")
-        moved.tell(9, self.hosts[0].line("s-0"))  # full: false
-        self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
-        moved.tell(9, self.hosts[0].line("s-0"), full=True)
+        self.assertEqual(await moved.received.get(), "/catalog/members")
+        moved.publish(9, self.hosts[0].line("s-0"))  # full: false
+        self.assertEqual(await asyncio.wait_for(moved.received.get(), 2), "/catalog/members")
+        moved.publish(9, self.hosts[0].line("s-0"), full=True)
         await self.until(lambda: not self.service.owner.roster.ready(1))
 
     async def test_sighup_with_the_same_address_calls_at_once_where_a_call_waits_for_its_time(self):
         await self.play(SocketHost())
-        await self.discovery.got.get()
+        await self.discovery.received.get()
         watch, address = self.service.watch, self.service.watch.address
         self.discovery.writers[-1].transport.abort()
         await self.until(lambda: watch.retry_timer is not None)
         watch.timers.cancel(watch.retry_timer)
         watch.retry_timer = watch.timers.set(50_000, watch.start_call, False)
         watch.move(address)
-        self.assertIn("index=1", await asyncio.wait_for(self.discovery.got.get(), 1))
+        self.assertIn("index=1", await asyncio.wait_for(self.discovery.received.get(), 1))
 
     async def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(self):
         # guards against asking for ever for what is newer than a version it will never reach
         await self.play(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
-            self.discovery.tell(version, self.hosts[0].line("s-0", state="draining"), full=full)
-        asked = [await self.discovery.got.get() for _ in range(4)]
+            self.discovery.publish(version, self.hosts[0].line("s-0", state="draining"), full=full)
+        asked = [await self.discovery.received.get() for _ in range(4)]
         self.assertEqual((asked[2], "index=2&" in asked[3]), ("/catalog/members", True))
 
     async def test_a_discovery_that_answers_at_once_for_ever_is_called_a_bounded_number_of_times(self):
         for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):  # the same list on and on; ever newer
             await self.play(SocketHost())
             for n in range(2, 1_000):
-                self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
+                self.discovery.publish(version(n), self.hosts[0].line("s-0"), full=True)
             await asyncio.sleep(0.5)
-            self.assertIn(self.discovery.got.qsize(), range(3, most))
+            self.assertIn(self.discovery.received.qsize(), range(3, most))
             await self.stop()
 
     async def test_a_list_of_eleven_hundred_hosts_is_followed_and_those_that_leave_are_left(self):
         caller = await self.play(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
-        self.discovery.tell(2, *lines, full=True)
+        self.discovery.publish(2, *lines, full=True)
         await self.until(lambda: len(self.service.owner.proxy.ready) == 1_100)
-        self.discovery.tell(3, *({**line, "state": "draining"} for line in lines[:1_099]))
+        self.discovery.publish(3, *({**line, "state": "draining"} for line in lines[:1_099]))
         await self.until(lambda: len(self.service.owner.proxy.ready) == 1)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
 
     async def test_a_pushed_process_is_ready_once_it_has_heard_and_serves_on_while_discovery_is_down(self):
         caller = await self.play(SocketHost(), SocketHost(), mode="pushed")
         self.assertFalse(self.service.clients.ready)
-        self.assertIn("wait=0", await self.discovery.got.get())
-        self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
+        self.assertIn("wait=0", await self.discovery.received.get())
+        self.discovery.publish(2, self.hosts[0].line("s-0", state="draining"))
         await self.until(lambda: self.service.clients.ready)
         self.assertFalse(self.service.owner.roster.ready(0))
         await self.discovery.stop()
@@ -238,4 +242,4 @@
         lost = [line for line in self.log.lines if line["event"] == "list lost"]
         self.assertIn(len(lost), range(2, 8))
         self.assertTrue(all(line["again_ms"] <= 250 for line in lost))
-        self.assertEqual((await caller.outcome(), self.hosts[0].got.qsize()), (200, 0))
+        self.assertEqual((await caller.status(), self.hosts[0].received.qsize()), (200, 0))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -121,19 +121,19 @@
     def test_bans_hold_and_end_when_they_would_have(self):
         hosts = [FakeHost(0, outcome=interface.UNREACHABLE), FakeHost(1)]
         stage = Stage(hosts)
-        stage.many(10)
+        stage.arrive_many(10)
         new, fitted = self.upgraded(stage, hosts)
         self.assertEqual(fitted, 2)
-        got = len(hosts[0].got)
-        new.many(5)
-        self.assertEqual(len(hosts[0].got), got)
+        got = len(hosts[0].received)
+        new.arrive_many(5)
+        self.assertEqual(len(hosts[0].received), got)
         later, _ = self.upgraded(stage, hosts, wait=200_000)
         self.assertFalse(later.proxy.excluded(later.proxy.hosts[0], "ban"))
 
     def test_a_fresh_host_keeps_its_age_and_what_it_was_sent_and_one_restarted_is_new(self):
         hosts = [FakeHost(0), FakeHost(1, started=1_000_000)]
         stage = Stage(hosts)
-        stage.many(60)
+        stage.arrive_many(60)
         old = stage.proxy.hosts[1]
         new, _ = self.upgraded(stage, hosts)
         server = new.proxy.hosts[1]
@@ -147,7 +147,7 @@
     def test_how_crowded_hosts_were_fades(self):
         hosts = [FakeHost(0), FakeHost(1)]
         stage = Stage(hosts)
-        stage.many(5)
+        stage.arrive_many(5)
         stage.proxy.slowdown = 3.0
         self.assertEqual(self.upgraded(stage, hosts)[0].proxy.slowdown, 3.0)
         self.assertEqual(self.upgraded(stage, hosts, wait=30_000)[0].proxy.slowdown, 2.0)
@@ -163,13 +163,13 @@
         for processes in (1, 2):
             hosts = [FakeHost(n) for n in range(3)] + [FakeHost(3, started=2_000_000)]
             stage = Stage(hosts, proxies=1)
-            stage.many(300)
+            stage.arrive_many(300)
             stage.now = 2_000_000
             stage.proxy.commit_rate = 40.0
-            stage.tell(interface.ProcessCount(processes))
-            stage.elapsed, before = 1, len(hosts[3].got)
-            stage.many(400)
-            sent.append(len(hosts[3].got) - before)
+            stage.deliver(interface.ProcessCount(processes))
+            stage.elapsed, before = 1, len(hosts[3].received)
+            stage.arrive_many(400)
+            sent.append(len(hosts[3].received) - before)
         self.assertLessEqual(sent[1], sent[0] // 2 + 1)
         self.assertGreater(sent[1], 0)
 
@@ -220,9 +220,9 @@
     kill, line = test_program.Program.kill, test_program.Program.line
 
     async def call(self, process, method, path):
-        caller = await Caller().to(process.console)
+        caller = await Caller().connect(process.console)
         caller.writer.write(f"{method} /-/{path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
-        status, body, _ = await caller.answer()
+        status, body, _ = await caller.read_response()
         await caller.stop()
         return status, body
 
@@ -230,10 +230,10 @@
         """Keeps a connection as long as it may; one that breaks under it is noted as None."""
         caller = None
         while not until.is_set():
-            caller = caller or await Caller().to(self.address)
+            caller = caller or await Caller().connect(self.address)
             try:
-                caller.ask("submit", key=f"k{len(answers)}")
-                status, _, head = await caller.answer()
+                caller.send_request("submit", key=f"k{len(answers)}")
+                status, _, head = await caller.read_response()
             except (OSError, asyncio.IncompleteReadError):
                 status, head = None, "Connection: close"
             answers.append(status)
@@ -294,34 +294,34 @@
         new.kill()
         self.assertTrue((await self.line(old, "alone"))["serves"])
         for n in range(5):
-            caller = await Caller().to(self.address)
-            self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
+            caller = await Caller().connect(self.address)
+            self.assertEqual(await caller.status(key=f"k{n}"), 200)
             await caller.stop()
 
     async def test_a_successor_goes_on_alone_if_the_old_one_is_killed_with_work_in_hand(self):
         for host in self.hosts:
-            host.ways = [SILENT]
+            host.replies = [SILENT]
         old = await self.start()
-        caller = await Caller().to(self.address)
-        caller.ask("submit")
+        caller = await Caller().connect(self.address)
+        caller.send_request("submit")
         new = await self.start()
         old.kill()
         with self.assertRaises((OSError, asyncio.IncompleteReadError)):
-            await caller.answer()
+            await caller.read_response()
         await self.line(new, "alone")
         for host in self.hosts:
-            host.ways = [OK]
-        again = await Caller().to(self.address)
-        self.assertEqual(await again.outcome(), 200)
+            host.replies = [OK]
+        again = await Caller().connect(self.address)
+        self.assertEqual(await again.status(), 200)
         await again.stop()
 
     async def test_a_drained_proxy_is_upgraded_and_stays_drained(self):
         old = await self.start()
         await self.call(old, "PUT", "drain")
         new = await self.start()
-        caller = await Caller().to(self.address)
+        caller = await Caller().connect(self.address)
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        self.assertEqual((await caller.answer())[0], 503)
+        self.assertEqual((await caller.read_response())[0], 503)
         await caller.stop()
         self.assertEqual((await self.call(new, "GET", "ready"))[0], 200)
         self.assertEqual((await self.call(new, "PUT", "resume"))[0], 200)
@@ -334,8 +334,8 @@
                     file.write(b"not a record")
         for folder in (self.folder, "/nowhere/at/all"):
             process = await self.start("handover", TMPDIR=folder)
-            caller = await Caller().to(self.address)
-            self.assertEqual(await caller.outcome(), 200)
+            caller = await Caller().connect(self.address)
+            self.assertEqual(await caller.status(), 200)
             await caller.stop()
             await self.kill(process)
 
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -74,16 +74,18 @@
     def test_a_hop_that_later_ones_overtook_holds_no_place_and_tells_of_no_crowd(self):
         """Five of them stood out at any time, and hosts that answered all others got no more (G 0.55)."""
         stage = self.stage(elapsed=20)
-        stage.many(50)
-        stage.turn(None)
+        stage.arrive_many(50)
+        stage.set_outcomes(None)
         lost = [stage.arrive(2, key=1_000 + n) for n in range(8)]
-        stage.turn(interface.COMMITTED)
+        stage.set_outcomes(interface.COMMITTED)
         before = {s.id: s.slowdown for s in stage.proxy.hosts.values()}
         stage.wait(2_000)
-        stage.many(40, profile=2)
-        self.assertEqual([tx for tx in range(stage.next - 40, stage.next) if tx not in stage.answers], [])
+        stage.arrive_many(40, profile=2)
+        self.assertEqual(
+            [tx for tx in range(stage.next_tx - 40, stage.next_tx) if tx not in stage.answers], []
+        )
         for tx in lost:
-            server = stage.sends()[tx]
+            server = stage.sent_to()[tx]
             stage.end(tx, 0, server, interface.TIMED_OUT, elapsed=9_000)
         for server in stage.proxy.hosts.values():
             self.assertLess(server.slowdown, max(1.5, before[server.id] + 0.5))
@@ -91,21 +93,21 @@
 
     def test_a_host_that_answers_nothing_any_more_is_still_banned(self):
         stage = self.stage()
-        stage.many(20)
-        stage.turn(None)
+        stage.arrive_many(20)
+        stage.set_outcomes(None)
         lost = [stage.arrive(2, key=n) for n in range(6)]
         stage.wait(9_000)
         for tx in lost:
-            stage.end(tx, 0, stage.sends()[tx], interface.TIMED_OUT, elapsed=9_000)
+            stage.end(tx, 0, stage.sent_to()[tx], interface.TIMED_OUT, elapsed=9_000)
         self.assertTrue(any(stage.proxy.excluded(s, "ban") for s in stage.proxy.hosts.values()))
 
     def test_silence_that_nobody_looked_at_is_none(self):
         """Answers that lay unread made every host look silent."""
         stage = self.stage()
-        stage.many(20)
-        stage.turn(None)
+        stage.arrive_many(20)
+        stage.set_outcomes(None)
         tx = stage.arrive(key=1)
-        server = stage.proxy.hosts[stage.sends()[-1]]
+        server = stage.proxy.hosts[stage.sent_to()[-1]]
         stage.now += 5_000
         for seen, silent in ((stage.now - 4_999, False), (stage.now, True)):
             stage.run(stage.proxy.handle(stage.now, interface.TimerDue(tx + 2), seen))
@@ -214,12 +216,12 @@
         host = SocketHost(SILENT)
 
         async def story(service, address):
-            caller = await Caller().to(address)
-            caller.ask("submit", timeout="0.15")
-            await host.got.get()
+            caller = await Caller().connect(address)
+            caller.send_request("submit", timeout="0.15")
+            await host.received.get()
             host.writers[0].write(OK)
             time.sleep(0.3)
-            self.assertEqual((await caller.answer())[0], 200)
+            self.assertEqual((await caller.read_response())[0], 200)
             (server,) = service.owner.proxy.hosts.values()
             self.assertLess(server.slowdown, 2.0)
             self.assertLess(service.owner.proxy.latency[1].mean, 1_000)
@@ -231,16 +233,16 @@
         host = SocketHost()
 
         async def story(service, address):
-            callers = [await Caller().to(address) for _ in range(8)]
-            self.assertEqual(await callers[0].outcome(), 200)
+            callers = [await Caller().connect(address) for _ in range(8)]
+            self.assertEqual(await callers[0].status(), 200)
             for caller in callers:
-                caller.ask("submit")
+                caller.send_request("submit")
             time.sleep(0.7)  # the service goal is 0.6 s
-            answers = [await caller.answer() for caller in callers]
+            answers = [await caller.read_response() for caller in callers]
             self.assertEqual({status for status, _, _ in answers}, {503})
             self.assertTrue(all("Retry-After" in head for _, _, head in answers))
-            self.assertEqual((host.got.qsize(), service.clients.ids), (1, set()))
-            self.assertEqual(await callers[0].outcome(), 200)
+            self.assertEqual((host.received.qsize(), service.clients.ids), (1, set()))
+            self.assertEqual(await callers[0].status(), 200)
             for caller in callers:
                 await caller.stop()
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -222,29 +222,29 @@
 class Decisions(unittest.TestCase):
     def test_hops_go_where_a_place_is_allowed_and_wait_for_one(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(
+        stage.deliver(
             interface.LimitsUpdated(
                 (((interface.PER_HOST, None), 0, 0, 0), ((interface.PER_HOST, 1), 0, 1, 10**9))
             )
         )
-        stage.many(2)
-        self.assertEqual(stage.sends(), [1])
-        stage.tell(interface.LimitsUpdated((((interface.PER_HOST, 0), 1, 0, 0),)))
-        self.assertEqual(sorted(stage.sends()), [0, 1])
+        stage.arrive_many(2)
+        self.assertEqual(stage.sent_to(), [1])
+        stage.deliver(interface.LimitsUpdated((((interface.PER_HOST, 0), 1, 0, 0),)))
+        self.assertEqual(sorted(stage.sent_to()), [0, 1])
 
     def test_a_part_that_is_too_old_is_none_and_tokens_are_used_up(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 1, 1, stage.now + 100),)))
-        stage.many(1)
+        stage.deliver(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 1, 1, stage.now + 100),)))
+        stage.arrive_many(1)
         stage.wait(200)
-        stage.many(1)
-        self.assertEqual(len(stage.sends()), 1)
+        stage.arrive_many(1)
+        self.assertEqual(len(stage.sent_to()), 1)
 
     def test_the_refused_are_told_when_to_come_back(self):
         stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.tell(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 0, 0, 0),), (), 7_000))
-        stage.many(1)
-        (back,) = [e for e in stage.record if isinstance(e, interface.RollBack)]
+        stage.deliver(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 0, 0, 0),), (), 7_000))
+        stage.arrive_many(1)
+        (back,) = [e for e in stage.effects if isinstance(e, interface.RollBack)]
         self.assertTrue(5_000 < back.retry_after < 9_000)
 
 
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -111,17 +111,17 @@
         self.assertEqual(self.run_it("--output", self.new, *DECIDED)[0], 0)
         process = await start("serve", RELAY_CONFIG=self.new)
         try:
-            await discovery.got.get()  # the watch began unasked
-            discovery.tell(2, host.line("s-0", weight=0.2))
-            await discovery.got.get()
+            await discovery.received.get()  # the watch began unasked
+            discovery.publish(2, host.line("s-0", weight=0.2))
+            await discovery.received.get()
             lines = []
             while not lines or lines[-1]["event"] != "ready":
                 lines.append(json.loads(await asyncio.wait_for(process.stdout.readline(), 30)))
             self.assertEqual(
                 [line["event"] for line in lines if line["event"] != "list call"], ["list", "ready"]
             )
-            caller = await Caller().to(lines[-1]["listen"])
-            self.assertEqual(await caller.outcome(profile="submit"), 200)
+            caller = await Caller().connect(lines[-1]["listen"])
+            self.assertEqual(await caller.status(profile="submit"), 200)
             await caller.stop()
         finally:
             process.kill()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The files under `policy` in deploy/balancer.toml name all that decides, in short modules."""
+"""The files under `policy` in deploy/balancer.toml contain every decision, and are short modules."""
 
 import ast
 import tomllib
@@ -7,7 +7,7 @@
 
 ROOT = Path(__file__).parent.parent
 DECIDE = "basalthook/policy/decide.py"
-NAMED = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+LISTED = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 EFFECTS = {
     "SendAttempt",
     "RollBack",
@@ -20,7 +20,7 @@
 
 
 def imported(path):
-    """Modules of the package that this one imports, itself and theirs included."""
+    """Modules of the package that this one imports, directly or not, and itself."""
     found, to_read = set(), [path]
     while to_read:
         if (path := to_read.pop()) in found:
@@ -39,8 +39,8 @@
 
 
 def decides(source):
-    """What in it decides. A decision constant is a module's name in capitals bound to numbers; a rule is
-    code that makes an effect, or that looks at what the operator agreed to."""
+    """Parts of the source that decide: module constants bound to numbers, and rules. A rule is code that
+    makes an effect or reads the operator's settings."""
     tree = ast.parse(source)
     for node in tree.body:
         if isinstance(node, ast.Assign) and numeric(node.value):
@@ -52,17 +52,17 @@
             yield f"rule {ast.unparse(node)}"
 
 
-class Named(unittest.TestCase):
-    def test_what_is_not_named_counts_hashes_or_holds_fields(self):
-        for path in imported(DECIDE) - set(NAMED):
+class DecisionModules(unittest.TestCase):
+    def test_other_modules_do_not_decide(self):
+        for path in imported(DECIDE) - set(LISTED):
             self.assertEqual(list(decides((ROOT / path).read_text())), [], path)
 
-    def test_what_is_named_decides_and_is_used(self):
-        self.assertLessEqual(set(NAMED), imported(DECIDE))
-        for path in NAMED:
+    def test_listed_modules_decide_and_are_used(self):
+        self.assertLessEqual(set(LISTED), imported(DECIDE))
+        for path in LISTED:
             self.assertTrue(list(decides((ROOT / path).read_text())), path)
 
-    def test_a_constant_or_a_rule_elsewhere_is_found(self):
+    def test_constants_and_rules_are_found(self):
         for source in (
             "LIMIT = 3",
             "A, B = 1, 2.5",
@@ -72,8 +72,8 @@
             self.assertTrue(list(decides(source)), source)
         self.assertFalse(list(decides('KIND = "zone"\ndef count(self, now): return len(self.times)')))
 
-    def test_modules_functions_and_lines_that_decide_are_short(self):
-        for path in NAMED:
+    def test_listed_modules_and_their_functions_and_lines_are_short(self):
+        for path in LISTED:
             source = (ROOT / path).read_text()
             self.assertLessEqual(len(source.splitlines()), 350, path)
             self.assertLessEqual(max(map(len, source.splitlines())), 110, path)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -45,7 +45,7 @@
         self.addAsyncCleanup(self.kill, process)
         line = await self.line(process, "ready")
         self.listen = ":".join(map(str, line["listen"]))
-        caller = await Caller().to(line["listen"])
+        caller = await Caller().connect(line["listen"])
         self.addAsyncCleanup(caller.stop)
         return process, caller
 
@@ -63,19 +63,19 @@
     async def test_it_serves_and_comes_back_on_its_address_right_after_a_kill(self):
         for _ in range(2):
             process, caller = await self.serve()
-            self.assertEqual(await caller.outcome(profile="submit", body=b"b"), 200)
+            self.assertEqual(await caller.status(profile="submit", body=b"b"), 200)
             await self.kill(process)
 
     async def test_told_to_end_it_finishes_what_it_has_and_leaves_with_zero(self):
-        self.host.ways = [SILENT]
+        self.host.replies = [SILENT]
         process, caller = await self.serve()
-        caller.ask("submit")
-        await self.host.got.get()
+        caller.send_request("submit")
+        await self.host.received.get()
         process.terminate()
         await self.line(process, "ending")
         process.send_signal(signal.SIGTERM)  # a second one changes nothing
         self.host.writers[0].write(OK)
-        self.assertEqual((await caller.answer())[0], 200)
+        self.assertEqual((await caller.read_response())[0], 200)
         self.assertEqual((await self.line(process, "ended"))["unanswered"], 0)
         self.assertEqual(await process.wait(), 0)
 
@@ -94,7 +94,7 @@
         moved = await SocketDiscovery().start()
         self.addAsyncCleanup(moved.stop)
         process, caller = await self.serve()
-        self.assertIn("index=1", await self.discovery.got.get())
+        self.assertIn("index=1", await self.discovery.received.get())
         with open(self.path) as file:
             whole = json.load(file)
         for text, event in (
@@ -108,11 +108,11 @@
             process.send_signal(signal.SIGHUP)
             line = await self.line(process, event)
             self.assertEqual(line.get("needs_restart", []), ["listen"] if '"127.0.0.1:9"' in text else [])
-            self.assertEqual(await caller.outcome(profile="submit"), 200)
-        self.assertEqual(await moved.got.get(), "/catalog/members")  # the whole list, then a watch
-        moved.tell(1, self.host.line("s-new"), full=True)
-        self.assertIn("index=1&", await moved.got.get())
-        self.assertEqual(await caller.outcome(), 200)
+            self.assertEqual(await caller.status(profile="submit"), 200)
+        self.assertEqual(await moved.received.get(), "/catalog/members")  # the whole list, then a watch
+        moved.publish(1, self.host.line("s-new"), full=True)
+        self.assertIn("index=1&", await moved.received.get())
+        self.assertEqual(await caller.status(), 200)
 
     async def test_a_file_that_is_whole_only_a_moment_after_sighup_is_taken(self):
         process, _ = await self.serve()
@@ -155,17 +155,17 @@
                     os.replace(self.path + ".new", self.path)
                 process.send_signal(signal.SIGHUP)
             await self.line(process, "ready")
-            await asyncio.wait_for(moved.got.get(), 10)
+            await asyncio.wait_for(moved.received.get(), 10)
             await self.kill(process)
 
     async def asks_on(self, process, answers):
         """Like an application at a planned restart: on while its connection is open, then anew, for 0.4 s."""
-        caller, clock = await Caller().to(self.listen.split(":")), asyncio.get_running_loop().time
+        caller, clock = await Caller().connect(self.listen.split(":")), asyncio.get_running_loop().time
         again = True
         while again:
             try:
-                caller.ask("submit")
-                status, _, head = await caller.answer()
+                caller.send_request("submit")
+                status, _, head = await caller.read_response()
             except (OSError, asyncio.IncompleteReadError):  # closed between two: once more on a new one
                 status, head = None, "Connection: close"
             answers.append(status)
@@ -176,7 +176,7 @@
                 await caller.stop()
                 again = self.told is not None and clock() < self.told + 0.4
                 if again or status is None:
-                    caller = await Caller().to(self.listen.split(":"))
+                    caller = await Caller().connect(self.listen.split(":"))
                 again = again or status is None
 
     async def test_a_planned_restart_loses_nothing_of_what_goes_on_coming(self):
@@ -191,7 +191,7 @@
         self.assertEqual(await process.wait(), 0)
 
     async def test_a_request_that_comes_during_the_end_is_answered_before_the_earliest_kill(self):
-        self.host.ways = [SILENT]
+        self.host.replies = [SILENT]
         process, caller = await self.serve()
         clock = asyncio.get_running_loop().time
         caller.writer.write(b"POST /submit HTTP/1.1\r\nHost: s\r\nRequest-Id: 1\r\nRequest-Timeout: 2.0\r\n")
@@ -199,18 +199,18 @@
         told = clock()
         await asyncio.sleep(1.5)
         caller.writer.write(b"Content-Length: 0\r\n\r\n")
-        self.assertIn((await caller.answer())[0], (502, 503, 504))
+        self.assertIn((await caller.read_response())[0], (502, 503, 504))
         self.assertLess(clock() - told, 2.0 + 0.7)  # the longest deadline and 0.7 s
         self.assertEqual(await process.wait(), 0)
 
     async def test_bodies_held_for_a_silent_host_stay_within_memory(self):
-        self.host.ways = [SILENT]
+        self.host.replies = [SILENT]
         process, first = await self.serve()
-        callers = [first] + [await Caller().to(self.listen.split(":")) for _ in range(150)]
+        callers = [first] + [await Caller().connect(self.listen.split(":")) for _ in range(150)]
         for n, caller in enumerate(callers):
-            caller.ask("submit", timeout="1.0", body=b"b" * 65536, key=f"k{n}")
+            caller.send_request("submit", timeout="1.0", body=b"b" * 65536, key=f"k{n}")
         for caller in callers:
-            self.assertIn((await caller.answer())[0], (503, 504))
+            self.assertIn((await caller.read_response())[0], (503, 504))
             await caller.stop()
         with open(f"/proc/{process.pid}/status") as status:
             peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -4,7 +4,16 @@
 from random import Random
 
 from basalthook.policy import interface
-from tests.fake import IDEMPOTENT, NON_IDEMPOTENT, PROFILES, PUSH_ZONE, SCAN_CELL, UPLOAD, FakeHost, Stage
+from tests.fake import (
+    IDEMPOTENT,
+    JOURNALLED_CELL,
+    JOURNALLED_EVERYWHERE,
+    JOURNALLED_ZONE,
+    NON_IDEMPOTENT,
+    PROFILES,
+    FakeHost,
+    Stage,
+)
 
 
 def fleet(count, **ways):
@@ -16,10 +25,10 @@
         hosts = fleet(4, outcome=interface.REFUSED)
         stage = Stage(hosts, elapsed=20)
         stage.arrive(key=5)
-        sent = len(stage.sends())
+        sent = len(stage.sent_to())
         stage.arrive(key=5)
-        self.assertEqual(len(stage.sends()), sent)  # all backed off: it waits
-        stage.turn(interface.COMMITTED)
+        self.assertEqual(len(stage.sent_to()), sent)  # all backed off: it waits
+        stage.set_outcomes(interface.COMMITTED)
         stage.wait(5_000)
         self.assertEqual(stage.answers[1], interface.COMMITTED)  # a ban would have lasted longer
 
@@ -28,21 +37,21 @@
         stage = Stage(hosts)
         stage.arrive(key=5)
         self.assertEqual(stage.answers[0], interface.RollBack)
-        self.assertEqual(len(stage.sends()), 2)
-        stage.turn(interface.COMMITTED)
+        self.assertEqual(len(stage.sent_to()), 2)
+        stage.set_outcomes(interface.COMMITTED)
         for n in range(20):
             stage.arrive(key=100 + n)
-        self.assertEqual(len(set(stage.sends()[2:])), 4)  # and no host was banned for it
+        self.assertEqual(len(set(stage.sent_to()[2:])), 4)  # and no host was banned for it
 
     def test_transport_fault_bans_and_the_ban_ends(self):
         bad, *others = hosts = fleet(3)
         stage = Stage(hosts)
         for bad.outcome, wait in ((interface.UNREACHABLE, 110_000), (interface.COMMITTED, 0)):
-            stage.many(20)
+            stage.arrive_many(20)
             if wait:
-                self.assertEqual(len(bad.got), 1)
+                self.assertEqual(len(bad.received), 1)
             stage.wait(wait)
-        self.assertGreater(len(bad.got), 1)
+        self.assertGreater(len(bad.received), 1)
 
     def test_a_run_of_three_timeouts_bans(self):
         silent, other = FakeHost(0, outcome=interface.TIMED_OUT), FakeHost(1)
@@ -50,21 +59,21 @@
         stage.hosts[1] = other
         for key in range(23):
             if key == 3:
-                stage.tell(interface.HostListReceived((other.line,), False, True))
+                stage.deliver(interface.HostListReceived((other.line,), False, True))
             stage.arrive(key=key)
-        self.assertEqual(len(silent.got), 3)
+        self.assertEqual(len(silent.received), 3)
 
     def test_a_key_stays_with_its_two_candidates(self):
         stage = Stage(fleet(6))
-        stage.many(30, key=9)
-        self.assertEqual(len(set(stage.sends())), 2)
+        stage.arrive_many(30, key=9)
+        self.assertEqual(len(set(stage.sent_to())), 2)
 
     def test_equal_seeds_act_alike(self):
         def play(seed):
             stage = Stage(fleet(5), seed=seed)
             for n in range(50):
                 stage.arrive(key=n % 7 or None)
-            return stage.record
+            return stage.effects
 
         self.assertEqual(play(3), play(3))
         self.assertNotEqual(play(3), play(4))
@@ -81,58 +90,58 @@
         stage = Stage(fleet(2, outcome=None))
         stage.arrive(NON_IDEMPOTENT)
         stage.now += 20_000
-        stage.end(0, 0, stage.sends()[0], interface.TIMED_OUT, 20_000)
+        stage.end(0, 0, stage.sent_to()[0], interface.TIMED_OUT, 20_000)
         self.assertEqual(stage.answers, {0: interface.Abandon})
-        self.assertEqual(len(stage.sends()), 1)
+        self.assertEqual(len(stage.sent_to()), 1)
 
     def test_non_idempotent_goes_on_after_unreachable_but_not_after_reset(self):
         hosts = fleet(4, outcome=None)
         stage = Stage(hosts)
         stage.arrive(NON_IDEMPOTENT)
-        stage.end(0, 0, stage.sends()[0], interface.UNREACHABLE)
-        stage.end(0, 1, stage.sends()[1], interface.RESET)
-        self.assertEqual(len(stage.sends()), 2)
+        stage.end(0, 0, stage.sent_to()[0], interface.UNREACHABLE)
+        stage.end(0, 1, stage.sent_to()[1], interface.RESET)
+        self.assertEqual(len(stage.sent_to()), 2)
         self.assertEqual(stage.answers, {0: interface.Abandon})
 
     def test_journalled_stays_in_its_zone_or_cell_and_window(self):
         for seed in range(6):
-            for profile, ways in ((PUSH_ZONE, "zone"), (SCAN_CELL, "cell")):
+            for profile, ways in ((JOURNALLED_ZONE, "zone"), (JOURNALLED_CELL, "cell")):
                 stage = Stage([FakeHost(n, "ab"[n % 2], n % 2, None) for n in range(8)], seed=seed)
                 stage.arrive(profile)
-                stage.end(0, 0, stage.sends()[0], interface.RESET)
-                first, second = (getattr(stage.hosts[h].line, ways) for h in stage.sends())
+                stage.end(0, 0, stage.sent_to()[0], interface.RESET)
+                first, second = (getattr(stage.hosts[h].line, ways) for h in stage.sent_to())
                 self.assertEqual(first, second)
                 stage.now += 6_000  # the window runs from the earliest that may have run
-                stage.end(0, 1, stage.sends()[1], interface.RESET)
-                self.assertEqual(len(stage.sends()), 2)
+                stage.end(0, 1, stage.sent_to()[1], interface.RESET)
+                self.assertEqual(len(stage.sent_to()), 2)
                 self.assertEqual(stage.answers, {0: interface.Abandon})
 
     def test_rolled_back_after_it_may_have_run_only_where_all_discard_repeats(self):
         stage = Stage(fleet(3, outcome=interface.RESET), max_attempts=1)
-        stage.arrive(UPLOAD)
-        stage.arrive(SCAN_CELL)
+        stage.arrive(JOURNALLED_EVERYWHERE)
+        stage.arrive(JOURNALLED_CELL)
         self.assertEqual(stage.answers, {0: interface.RollBack, 1: interface.Abandon})
 
     def test_nothing_waiting_goes_to_a_drained_host(self):
         host = FakeHost(0, outcome=interface.REFUSED)
         stage = Stage([host])
         stage.arrive()
-        stage.tell(interface.HostListReceived((host.line._replace(ready=False),), False, True))
+        stage.deliver(interface.HostListReceived((host.line._replace(ready=False),), False, True))
         host.outcome = interface.COMMITTED
         stage.wait(20_000)
-        self.assertEqual(stage.sends(), [0])
+        self.assertEqual(stage.sent_to(), [0])
         self.assertEqual(stage.answers, {0: interface.RollBack})
 
     def test_a_cold_host_is_not_pushed_over_though_all_others_are_banned(self):
         hosts = fleet(4)
         stage = Stage(hosts, elapsed=30)
-        stage.many(200)
+        stage.arrive_many(200)
         cold = FakeHost(9, started=stage.now)
         stage.hosts[9] = cold
-        stage.tell(interface.HostListReceived((cold.line,), False, True))
-        stage.turn(interface.UNREACHABLE)
-        stage.many(200)
-        self.assertLessEqual(len(cold.got), 50 * 0.2 * 2.5)  # a warm host's traffic, share, multiple
+        stage.deliver(interface.HostListReceived((cold.line,), False, True))
+        stage.set_outcomes(interface.UNREACHABLE)
+        stage.arrive_many(200)
+        self.assertLessEqual(len(cold.received), 50 * 0.2 * 2.5)  # a warm host's traffic, share, multiple
 
     def test_a_bound_profile_keeps_to_its_places_at_every_hop_and_is_answered_at_once_without_any(self):
         """tile-read of notch-main went to other buildings at its first hop already."""
@@ -145,15 +154,15 @@
                 FakeHost(n, "ab"[n % 2], outcome=interface.UNREACHABLE, kind="yx"[n // 2]) for n in range(4)
             ]
             stage = Stage(hosts, profiles=(PROFILES[IDEMPOTENT]._replace(**bound), PROFILES[NON_IDEMPOTENT]))
-            stage.many(20)
-            self.assertEqual(set(stage.sends()), home)
-            stage.tell(
+            stage.arrive_many(20)
+            self.assertEqual(set(stage.sent_to()), home)
+            stage.deliver(
                 interface.HostListReceived(
                     tuple(h.line for h in hosts if h.line.host_id not in home), True, True
                 )
             )
             self.assertEqual(stage.answers[stage.arrive()], interface.RollBack)
-            self.assertEqual(set(stage.sends()), home)
+            self.assertEqual(set(stage.sent_to()), home)
 
     def test_where_a_profile_is_bound_to_the_own_zone_free_ones_stay_till_all_there_is_banned(self):
         """58 proxies of notch-main held connections to all hosts, more than these take, and few warm keys."""
@@ -161,17 +170,17 @@
         bound = PROFILES[IDEMPOTENT]._replace(zones=frozenset("a"))
         for zone, used in (("b", {0, 1, 2, 3, 4, 5}), ("a", {0, 2, 4})):
             stage = Stage(hosts, zone=zone, profiles=(bound, PROFILES[NON_IDEMPOTENT]))
-            stage.many(60, 1)
-            self.assertEqual(set(stage.sends()), used)
+            stage.arrive_many(60, 1)
+            self.assertEqual(set(stage.sent_to()), used)
         for host in hosts[::2]:
             host.outcome = interface.UNREACHABLE
-        stage.many(20, 1)
-        self.assertTrue({1, 3, 5} & set(stage.sends()[-10:]))
-        stage.turn(interface.COMMITTED)
+        stage.arrive_many(20, 1)
+        self.assertTrue({1, 3, 5} & set(stage.sent_to()[-10:]))
+        stage.set_outcomes(interface.COMMITTED)
         stage.wait(30_000)
-        stage.many(6)  # bound ones look whether home is up again
-        stage.many(20, 1)
-        self.assertLessEqual(set(stage.sends()[-20:]), {0, 2, 4})
+        stage.arrive_many(6)  # bound ones look whether home is up again
+        stage.arrive_many(20, 1)
+        self.assertLessEqual(set(stage.sent_to()[-20:]), {0, 2, 4})
 
     def test_many_proxies_at_home_hold_a_hop_or_so_each(self):
         """31 proxies of a zone, one hop each at each of five hosts, filled these before any answer told."""
@@ -179,25 +188,25 @@
         for proxies, most in ((156, 1), (4, 5)):
             stage = Stage(fleet(5, outcome=None), profiles=(bound,), proxies=proxies)
             stage.wait(30_000)
-            stage.many(20)
-            self.assertEqual(len(stage.sends()), most)
+            stage.arrive_many(20)
+            self.assertEqual(len(stage.sent_to()), most)
 
     def test_where_only_draining_binds_a_host_left_out_is_sent_to_until_it_fails(self):
         for draining, complete in ((False, True), (False, False), (True, False)):
             host, other = hosts = fleet(2)
             stage = Stage(hosts, use_unlisted=True)
-            stage.many(20)
+            stage.arrive_many(20)
             for line in (host.line._replace(ready=False, draining=draining), host.line._replace(ready=False)):
-                stage.tell(interface.HostListReceived((other.line, line)[: 2 - complete], complete, True))
+                stage.deliver(interface.HostListReceived((other.line, line)[: 2 - complete], complete, True))
             for outcome, got in (
                 (interface.COMMITTED, True),
                 (interface.CANCELLED, True),
                 (interface.UNREACHABLE, True),
                 (interface.COMMITTED, False),
             ):  # cancelled by us proves nothing, a fault does
-                host.outcome, before = outcome, len(host.got)
-                stage.many(20)
-                self.assertEqual(len(host.got) > before, got and not draining)
+                host.outcome, before = outcome, len(host.received)
+                stage.arrive_many(20)
+                self.assertEqual(len(host.received) > before, got and not draining)
                 stage.wait(110_000)
 
     def test_one_hop_at_a_time_where_copies_are_not_allowed(self):
@@ -205,10 +214,10 @@
         stage = Stage(fleet(4, outcome=None), can_cancel=True)
         stage.arrive()
         stage.wait(19_000)
-        self.assertEqual(len(stage.sends()), 1)
-        self.assertNotIn(interface.CancelAttempt(0, 0), stage.record)
-        stage.end(0, 0, stage.sends()[0], interface.RESET)
-        self.assertEqual(len(stage.sends()), 2)
+        self.assertEqual(len(stage.sent_to()), 1)
+        self.assertNotIn(interface.CancelAttempt(0, 0), stage.effects)
+        stage.end(0, 0, stage.sent_to()[0], interface.RESET)
+        self.assertEqual(len(stage.sent_to()), 2)
 
     def test_one_hot_key_at_hundreds_of_proxies_does_not_push_over_a_cold_host(self):
         """277 proxies each gave a fresh host one hop in a fall window, all of the same key: it fell."""
@@ -218,64 +227,64 @@
             stage = Stage([FakeHost(0), cold], seed=seed, proxies=277)
             stage.proxy.commit_rate = 0.1
             stage.arrive(key=5)
-            del cold.got[:]
+            del cold.received[:]
             stage.now += 40_000
             stage.hosts[0].outcome = interface.UNREACHABLE
             stage.arrive(key=5)
-            took += len(cold.got)
+            took += len(cold.received)
         self.assertLess(took, 30)
 
 
 class Departures(unittest.TestCase):
     def test_what_drags_at_all_hosts_rests_none_and_goes_one_at_a_time(self):
         """One firm's transactions waited at every map server: 93 in 100 of all firms' were rolled back."""
-        for dragging in ({"tenant": 1}, {"profile": SCAN_CELL}):
+        for dragging in ({"tenant": 1}, {"profile": JOURNALLED_CELL}):
             stage = Stage(fleet(3))
             for n in range(120):
                 stage.elapsed, whose = (7_000, dragging) if n % 2 else (700, {"tenant": 2})
                 stage.arrive(key=n, **whose)
             self.assertFalse([s for s in stage.proxy.hosts.values() if stage.proxy.excluded(s, "rest")])
-            stage.turn(None)
+            stage.set_outcomes(None)
             txs = [stage.arrive(**whose) for whose in (dragging, dragging, {"tenant": 2})]
             self.assertEqual(
                 [stage.answers.get(tx) for tx in txs], [None, interface.RollBack, None]
             )  # at once
             self.assertGreater(
-                [e for e in stage.record if isinstance(e, interface.RollBack)][-1].retry_after, 0
+                [e for e in stage.effects if isinstance(e, interface.RollBack)][-1].retry_after, 0
             )
 
     def test_a_silent_host_is_passed_by(self):
         hosts = fleet(2)
         stage = Stage(hosts)
         hosts[0].outcome = None
-        while not hosts[0].got:
+        while not hosts[0].received:
             stage.arrive(key=1)
         stage.now += 6_000
-        before = list(hosts[0].got)
-        stage.many(20, NON_IDEMPOTENT, key=1)
-        self.assertEqual(hosts[0].got, before)
+        before = list(hosts[0].received)
+        stage.arrive_many(20, NON_IDEMPOTENT, key=1)
+        self.assertEqual(hosts[0].received, before)
 
     def test_a_late_hop_is_left_alone_and_called_back_once_nobody_waits(self):
         """Copies of late hops lost their work in every crowd, and took room that first hops needed."""
         stage = Stage(fleet(3, outcome=None), can_cancel=True)
         stage.arrive()
         stage.wait(19_000)
-        self.assertEqual(len(stage.sends()), 1)
-        stage.tell(interface.ClientDisconnected(0))
-        self.assertIn(interface.CancelAttempt(0, 0), stage.record)
+        self.assertEqual(len(stage.sent_to()), 1)
+        stage.deliver(interface.ClientDisconnected(0))
+        self.assertIn(interface.CancelAttempt(0, 0), stage.effects)
 
     def test_list_is_asked_again_after_a_failure_never_twice_at_once(self):
         stage = Stage(fleet(1))
-        stage.tell(interface.HostListFailed())
-        stage.tell(interface.HostListFailed())
-        stage.record.clear()
+        stage.deliver(interface.HostListFailed())
+        stage.deliver(interface.HostListFailed())
+        stage.effects.clear()
         stage.wait(100_000)
-        self.assertEqual(stage.record.count(interface.RequestHostList()), 1)
+        self.assertEqual(stage.effects.count(interface.RequestHostList()), 1)
 
     def test_late_and_unknown_events_are_taken_quietly(self):
         stage = Stage(fleet(2))
         stage.arrive()
-        stage.record.clear()
+        stage.effects.clear()
         for event in (
             interface.ClientDisconnected(0),
             interface.ClientDisconnected(77),
@@ -284,16 +293,16 @@
             interface.TimerDue(900),
             interface.AttemptEnded(77, 0, 5, interface.COMMITTED, 10, True),
         ):
-            stage.tell(event)
-        self.assertEqual(stage.record, [])
+            stage.deliver(event)
+        self.assertEqual(stage.effects, [])
         self.assertEqual(stage.arrive(IDEMPOTENT), 1)
 
     def test_quick_errors_of_several_keys_ban_the_host(self):
         bad, *_ = hosts = fleet(4)
         bad.outcome = interface.ERROR
         stage = Stage(hosts)
-        stage.many(60)
-        self.assertLessEqual(len(bad.got), 4)
+        stage.arrive_many(60)
+        self.assertLessEqual(len(bad.received), 4)
 
     def test_a_few_bad_answers_and_lone_resets_leave_a_host_in_use(self):
         """Each banned its host for ten seconds; a handful a second left nearly every sound host out."""
@@ -302,7 +311,7 @@
         for n in range(300):
             hosts[n % 3].outcome = {0: interface.RESET, 10: interface.ERROR}.get(n % 20, interface.COMMITTED)
             stage.arrive(key=n)
-            stage.turn(interface.COMMITTED)
+            stage.set_outcomes(interface.COMMITTED)
         self.assertEqual([s.excluded_until for s in stage.proxy.hosts.values()], [{}] * 3)
 
     def test_a_host_that_breaks_what_it_takes_is_banned_and_one_that_refuses_at_once(self):
@@ -310,15 +319,15 @@
             bad, *_ = hosts = fleet(3)
             bad.outcome = outcome
             stage = Stage(hosts)
-            stage.many(60)
-            self.assertEqual(len(bad.got), most)
+            stage.arrive_many(60)
+            self.assertEqual(len(bad.received), most)
 
     def test_few_proxies_leave_no_host_idle_between_two_hops(self):
         """With one place a host and answers of 3 ms, hosts idled while some waited (G 0.34 to 0.43)."""
         for proxies, places in ((2, 2), (4, 1)):
             stage = Stage(fleet(2), proxies=proxies)
-            stage.many(20)
-            stage.crowd(2.0)
+            stage.arrive_many(20)
+            stage.set_slowdown(2.0)
             self.assertEqual(stage.proxy.concurrency_limit(stage.proxy.hosts[0]), places)
 
     def test_resets_that_all_hosts_share_leave_them_in_use(self):
@@ -329,7 +338,7 @@
             for host in hosts:
                 host.outcome = interface.RESET if chance.random() < 0.2 else interface.COMMITTED
             stage.arrive(key=n)
-        self.assertGreater(min(len(host.got) for host in hosts), 400)
+        self.assertGreater(min(len(host.received) for host in hosts), 400)
 
     def test_a_host_that_answers_all_but_one_profile_is_left_out_for_that_one(self):
         """Its answers to the others ended every run of time-outs: submissions were lost there on and on."""
@@ -339,19 +348,19 @@
             odd.outcome = None
             tx = stage.arrive(NON_IDEMPOTENT, key=n)
             odd.outcome = interface.COMMITTED
-            stage.many(5)
+            stage.arrive_many(5)
             if tx not in stage.answers:
                 lost += 1
                 stage.end(tx, 0, 0, interface.TIMED_OUT, 1_000)
         self.assertEqual(lost, 3)
-        self.assertGreater(len(odd.got), 10)  # the others still go there
+        self.assertGreater(len(odd.received), 10)  # the others still go there
 
     def test_a_host_whose_hops_are_all_called_back_rests(self):
         """Overtaken by its copies, a slow host never answers, and was never found slow."""
         stage = Stage(fleet(2, outcome=None), can_cancel=True, elapsed=100)
         for key in range(40):
             tx = stage.arrive(key=key)
-            host = stage.sends()[-1]
+            host = stage.sent_to()[-1]
             stage.now += 50
             stage.end(
                 tx,
@@ -368,26 +377,26 @@
     def test_one_hop_at_a_silent_host_does_not_stop_a_proxy_of_little_traffic(self):
         """One of 290 proxies: one hop out, at a silent host, had all else refused until its hard limit."""
         stage = Stage(fleet(6, outcome=None), proxies=290)
-        stage.crowd(1.3)
-        stage.many(2, NON_IDEMPOTENT)
+        stage.set_slowdown(1.3)
+        stage.arrive_many(2, NON_IDEMPOTENT)
         stage.wait(3_500)
         for strain, sent in ((3.0, 2), (1.3, 3)):  # not so in a crowd, where all hops are late
             stage.proxy.slowdown = strain
             stage.arrive(key=9)
-            self.assertEqual(len(stage.sends()), sent)
+            self.assertEqual(len(stage.sent_to()), sent)
 
     def test_what_silent_hosts_owe_is_no_crowd_at_the_others(self):
         stage = Stage(fleet(2, outcome=None))
         tx = stage.arrive()
-        stage.end(tx, 0, stage.sends()[0], interface.TIMED_OUT, 20_000)
+        stage.end(tx, 0, stage.sent_to()[0], interface.TIMED_OUT, 20_000)
         self.assertEqual(stage.proxy.slowdown, 1.0)
 
     def test_a_host_met_seldom_rests_on_one_slow_answer_and_long_and_one_met_often_does_not(self):
         """Forty proxies met a jammed host each four seconds: it took three answers, and a rest was 50 ms."""
         for before, rests in ((0, True), (30, False)):
             stage = Stage(fleet(1), elapsed=100, proxies=40)
-            stage.many(before)
-            stage.turn(None)
+            stage.arrive_many(before)
+            stage.set_outcomes(None)
             slow, server = stage.arrive(), stage.proxy.hosts[0]
             stage.end(slow, 0, 0, interface.COMMITTED, 6_000)
             self.assertEqual(server.excluded_until.get("rest", 0) >= stage.now + 25_000, rests)
@@ -398,8 +407,8 @@
         strains, slow = [], 0
         for _ in range(20):
             tx = stage.arrive(key=9)
-            host = stage.sends()[-1]
-            jammed = host == stage.sends()[0]
+            host = stage.sent_to()[-1]
+            jammed = host == stage.sent_to()[0]
             slow += jammed
             stage.end(tx, 0, host, interface.COMMITTED, 6_000 if jammed else 700)
             strains.append(stage.proxy.slowdown)
@@ -410,7 +419,7 @@
     def test_what_waits_still_ends_when_estimates_move(self):
         """The end of waiting was worked out anew at its timer, which could find it still to come."""
         stage = Stage(fleet(1, outcome=None))
-        stage.crowd(2.0)
+        stage.set_slowdown(2.0)
         stage.arrive()
         waiting = stage.arrive()
         stage.proxy.latency[IDEMPOTENT].mean = 1
@@ -420,29 +429,29 @@
     def test_short_goals_go_first_in_line(self):
         hosts = fleet(1, outcome=None)
         stage = Stage(hosts)
-        stage.crowd(2.0)
+        stage.set_slowdown(2.0)
         held = stage.arrive()
         patient, hasty = stage.arrive(time_left=20_000), stage.arrive(time_left=3_000)
         stage.end(held, 0, 0, interface.COMMITTED)
-        self.assertEqual(hosts[0].got, [held, hasty])
+        self.assertEqual(hosts[0].received, [held, hasty])
         stage.end(hasty, 0, 0, interface.COMMITTED)
-        self.assertEqual(hosts[0].got, [held, hasty, patient])
+        self.assertEqual(hosts[0].received, [held, hasty, patient])
 
     def test_while_busy_a_key_waits_for_its_two_hosts(self):
         """Keys strewn over hosts that don't know them made a crowd feed on itself."""
         stage = Stage(fleet(6))
-        stage.many(200, key=9)
-        homes = set(stage.sends())
+        stage.arrive_many(200, key=9)
+        homes = set(stage.sent_to())
         stage.proxy.slowdown = 2.0
-        stage.turn(None)
-        stage.many(12, key=9)
-        self.assertEqual(set(stage.sends()), homes)
+        stage.set_outcomes(None)
+        stage.arrive_many(12, key=9)
+        self.assertEqual(set(stage.sent_to()), homes)
 
     def test_own_zone_is_leant_to_by_the_price_of_crossing(self):
         def near(price):
             stage = Stage([FakeHost(n, zone="ab"[n % 2]) for n in range(8)], cross_zone_price=price)
-            stage.many(300)
-            return sum(host % 2 == 0 for host in stage.sends())
+            stage.arrive_many(300)
+            return sum(host % 2 == 0 for host in stage.sent_to())
 
         self.assertLess(near(0.0), 200)
         self.assertGreater(near(0.1), 250)
@@ -451,22 +460,22 @@
         bad, good = hosts = fleet(2)
         bad.outcome = interface.UNREACHABLE
         stage = Stage(hosts)
-        stage.many(10)
+        stage.arrive_many(10)
         bad.outcome = interface.COMMITTED
         stage.wait(101_000)
-        before = len(bad.got)
-        stage.many(10, NON_IDEMPOTENT)
-        self.assertEqual(len(bad.got), before)
-        stage.many(10)
-        self.assertGreater(len(bad.got), before)
+        before = len(bad.received)
+        stage.arrive_many(10, NON_IDEMPOTENT)
+        self.assertEqual(len(bad.received), before)
+        stage.arrive_many(10)
+        self.assertGreater(len(bad.received), before)
 
     def test_clients_told_at_one_moment_do_not_come_back_at_one(self):
         """Forty proxies told all they turned away to come after the same time: the next wave of a storm."""
         stage = Stage(fleet(1, outcome=None))
-        stage.crowd(2.0)
+        stage.set_slowdown(2.0)
         stage.proxy.pace = 600
-        stage.many(60, key=9)
-        told = [e.retry_after for e in stage.record if isinstance(e, interface.RollBack)]
+        stage.arrive_many(60, key=9)
+        told = [e.retry_after for e in stage.effects if isinstance(e, interface.RollBack)]
         self.assertGreater(len(told), 40)
         self.assertGreater(len(set(told)), len(told) / 2)
         self.assertLess(1.4, max(told) / min(told))
@@ -474,12 +483,12 @@
     def test_no_turn_soon_is_told_at_once_and_when_to_come_back(self):
         """Long lines served everyone at the last moment; a stay of a whole goal made every retry late."""
         stage = Stage(fleet(1, outcome=None))
-        stage.crowd(2.0)
+        stage.set_slowdown(2.0)
         stage.proxy.pace = 600
         for _ in range(6):
             stage.arrive()
         self.assertIn(interface.RollBack, stage.answers.values())
-        first = next(e for e in stage.record if isinstance(e, interface.RollBack))
+        first = next(e for e in stage.effects if isinstance(e, interface.RollBack))
         self.assertLess(0, first.retry_after)
         self.assertLess(first.retry_after, 3_000)
 
@@ -492,12 +501,12 @@
     def test_silence_is_measured_by_the_hop_that_is_out(self):
         """A host busy with one long upload is not silent because a short read would be done by now."""
         stage = Stage(fleet(1, outcome=None))
-        for kind, usual in ((IDEMPOTENT, (100, 10)), (UPLOAD, (2_500, 500))):
+        for kind, usual in ((IDEMPOTENT, (100, 10)), (JOURNALLED_EVERYWHERE, (2_500, 500))):
             stage.proxy.latency[kind].mean, stage.proxy.latency[kind].deviation = usual
-        stage.arrive(UPLOAD)
+        stage.arrive(JOURNALLED_EVERYWHERE)
         stage.now += 1_000
         stage.arrive(IDEMPOTENT)
-        self.assertEqual(len(stage.sends()), 2)
+        self.assertEqual(len(stage.sent_to()), 2)
 
     def test_slices_stand_on_what_warm_hosts_commit_when_not_busy(self):
         """Measured in a crowd, slices shrank and fresh hosts idled while warm ones were overrun."""
@@ -527,7 +536,7 @@
     def lines(self, stage, *weights):
         told = zip(stage.hosts.values(), weights, strict=True)
         lines = tuple(host.line._replace(kind="k", weight=weight) for host, weight in told)
-        stage.tell(interface.HostListReceived(lines, False, True))
+        stage.deliver(interface.HostListReceived(lines, False, True))
 
     def test_sizes_follow_the_highest_weight_in_steps_and_never_fall(self):
         stage = self.live(3)
@@ -540,8 +549,8 @@
         for held, taken in ((0.2, 9), (3.0, 3)):
             stage = self.live(3, held, outcome=None)
             stage.proxy.slowdown = 2.0
-            stage.many(9)
-            self.assertEqual(len(stage.sends()), taken, held)
+            stage.arrive_many(9)
+            self.assertEqual(len(stage.sent_to()), taken, held)
 
     def test_a_fleet_slow_as_a_whole_does_not_rest_host_by_host(self):
         """Thirteen of eighteen hosts rested, said to hold next to nothing, and 29 in 100 were rolled back."""
@@ -555,20 +564,20 @@
 
     def test_where_all_hosts_hold_too_much_some_are_rolled_back_as_they_arrive_and_told_when_to_return(self):
         stage = self.live(3, 9.0, outcome=None)
-        stage.many(40)  # no time passes meanwhile
-        rolled = [e for e in stage.record if isinstance(e, interface.RollBack)]
+        stage.arrive_many(40)  # no time passes meanwhile
+        rolled = [e for e in stage.effects if isinstance(e, interface.RollBack)]
         self.assertGreater(len(rolled), 10)
         self.assertGreater(min(e.retry_after for e in rolled), 0)
 
     def test_errors_are_told_to_the_one_who_counts_and_three_of_them_make_all_keep_away_for_a_while(self):
         def told(stage):
-            return [e for e in stage.record if isinstance(e, interface.SendPeerReport)]
+            return [e for e in stage.effects if isinstance(e, interface.SendPeerReport)]
 
         for peers in (False, True):
             stage = Stage(
                 fleet(10, outcome=interface.ERROR), proxies=10, peer_reports=peers, position=3, elapsed=10
             )
-            stage.many(30)
+            stage.arrive_many(30)
             self.assertEqual(bool(told(stage)), peers)  # not allowed: none
         hosts = {host: stage.proxy.hosts[host].entry.hash % 10 for host in range(10)}
         once = {
@@ -579,13 +588,13 @@
         stage = Stage(fleet(10), proxies=10, peer_reports=True, position=3)
         mine = next(host for host, counts in hosts.items() if counts == 3)
         for sender, many in ((1, 0), (1, 0), (3, 0), (-1, 0), (10, 0), (2, 0), (5, 1)):  # absurd ones
-            stage.tell(interface.PeerReportReceived(sender, mine, interface.FAULT_SEEN))
+            stage.deliver(interface.PeerReportReceived(sender, mine, interface.FAULT_SEEN))
             self.assertEqual(
                 told(stage), [interface.SendPeerReport(None, mine, interface.FAULT_CONFIRMED)] * many
             )
         for wait, got in ((40_000, False), (0, True)):
-            stage.many(30)
-            self.assertEqual(bool(stage.hosts[mine].got), got)
+            stage.arrive_many(30)
+            self.assertEqual(bool(stage.hosts[mine].received), got)
             stage.wait(wait)
 
     def test_only_the_one_who_counts_is_believed_and_never_for_many_hosts(self):
@@ -594,6 +603,6 @@
             for host, server in [(999, None), *stage.proxy.hosts.items()]:
                 for sender in range(-1, 12):
                     if server is None or believed == (sender == server.entry.hash % 10):
-                        stage.tell(interface.PeerReportReceived(sender, host, interface.FAULT_CONFIRMED))
+                        stage.deliver(interface.PeerReportReceived(sender, host, interface.FAULT_CONFIRMED))
             away = sum(stage.now < s.verdict_until for s in stage.proxy.hosts.values())
             self.assertIn(away, (1, 2, 3) if believed else (0,))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -66,7 +66,7 @@
                     return super().connect(address)
 
             with patch.object(socket, "socket", Failing):
-                self.assertEqual(await caller.outcome(), 200)
+                self.assertEqual(await caller.status(), 200)
             self.assertEqual((failures, [found for _, found in self.log.hops()]), ([], [outcome]))
             servers = self.service.owner.proxy.hosts.values()
             self.assertEqual(any(server.excluded_until for server in servers), outcome == "unreachable")
