--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -21,7 +21,7 @@
 BUSY_REACH = 2  # while busy, a key waits for one of its first so many hosts before it goes elsewhere
 # Excess share of slow answers of a slow group; answers to compare a group by; error rate that bans a host.
 SLOW_SHARE, MIN_ANSWERS, MAX_ERROR_RATE = 0.5, 3, 0.3
-HOST_WEIGHT, FLEET_WEIGHT = 0.4, 3  # of an answer: / attempts in overload_time; * time since the last commit
+HOST_WEIGHT, FLEET_WEIGHT = 0.4, 3  # of an answer: / attempts, * time since a commit, per overload_time
 ESTIMATE_INTERVAL, COLD_STEPS = 10_000, 16  # between updates of slow estimates; re-rankings in a slow start
 UNLISTED_SILENCE, TABLE_SIZE = 600_000, 2_000  # without an answer, then an unlisted host goes; entries
 TRIAL_PART = 3  # the fleet's trial of a host takes at most 1 / TRIAL_PART of the time left
@@ -240,7 +240,7 @@
         self.effects.append(interface.SetTimer(wait, 1))
 
     def update_entry(self, host, entry):
-        """A live weight is at most the capacity, which at most doubles at a time: a weight may be untrue."""
+        """A live weight is at most the capacity; that at most doubles, as a weight may be wrong tenfold."""
         if entry.started_at is not None and entry.started_at != host.entry.started_at:
             host.renew(entry)
         host.entry, host.unlisted = entry, False
--- a/basalthook/policy/records.py
+++ b/basalthook/policy/records.py
@@ -14,9 +14,8 @@
         self.answered_send, self.answered_by = 0, {}
         self.attempts = {}  # open ones: (tx, attempt) -> host, sent at, late after; removed as they end
         self.capacity = 0.0  # relative to other hosts
-        self.verdict_until = self.ramp_until = (
-            0  # fleet's verdict: shut out until; then a growing share until
-        )
+        # by the fleet's verdict: shut out until the first, then a growing share of attempts until the second
+        self.verdict_until = self.ramp_until = 0
         self.admission_draw, self.next_draw_at = 0.0, 0  # while cold: a random number, once an overload_time
         self.renew(entry)
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,6 +1,6 @@
 """Time that the decisions take by kind of event, at 10, 50 and 500 hosts.
 
-python -m benchmarks.decisions
+    python -m benchmarks.decisions
 
 Plays transactions against hosts that answer after 20 ms (150 ms where a queue waits), in virtual time and
 without sockets, and prints a table of microseconds a call: median of rounds, by event. Only figures of one
@@ -51,7 +51,7 @@
         for n in range(count)
     )
     proxy.handle(now, interface.HostListReceived(hosts, True, True))
-    out, hops = [], {}
+    out, attempts = [], {}
 
     def handle(event) -> None:
         begun = perf_counter_ns()
@@ -60,8 +60,8 @@
         calls[TITLES[type(event).__name__]] += 1
         for effect in effects:
             if isinstance(effect, interface.SendAttempt):
-                hop = hops[effect.tx] = hops.get(effect.tx, -1) + 1
-                out.append((now + (1_500 if waiting else 200), effect.tx, hop, effect.host, now))
+                attempt = attempts[effect.tx] = attempts.get(effect.tx, -1) + 1
+                out.append((now + (1_500 if waiting else 200), effect.tx, attempt, effect.host, now))
             elif isinstance(effect, interface.SetTimer):
                 heappush(due, (now + effect.delay, effect.timer_id))
 
@@ -71,8 +71,8 @@
             proxy.slowdown = 2.0
         handle(interface.TxArrived(tx, tx % 2, tx * 31 % 2000, 20_000))
         while out and out[0][0] <= now:
-            _, done, hop, host, sent = out.pop(0)
-            handle(interface.AttemptEnded(done, hop, host, interface.COMMITTED, now - sent, True))
+            _, done, attempt, host, sent = out.pop(0)
+            handle(interface.AttemptEnded(done, attempt, host, interface.COMMITTED, now - sent, True))
         while due and due[0][0] <= now:
             handle(interface.TimerDue(heappop(due)[1]))
     return {name: spent[name] / max(1, calls[name]) / 1000 for name in EVENTS}
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -57,7 +57,7 @@
         self.hosts = {h.line.host_id: h for h in hosts}
         self.proxy = Proxy(interface.PolicySettings(**merged), seed, self.now)
         self.handler = Asking(Following(self.proxy.settings, self.proxy.rng), Counting(self.proxy))
-        self.effects, self.answers, self.hops, self.timers = [], {}, {}, []
+        self.effects, self.answers, self.attempts, self.timers = [], {}, {}, []
         self.run(self.handler.begin())
         self.deliver(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
 
@@ -68,23 +68,23 @@
         for effect in effects:
             self.effects.append(effect)
             if isinstance(effect, interface.SendAttempt):
-                hop = self.hops[effect.tx] = self.hops.get(effect.tx, -1) + 1
+                attempt = self.attempts[effect.tx] = self.attempts.get(effect.tx, -1) + 1
                 host = self.hosts[effect.host]
                 host.received.append(effect.tx)
                 if host.outcome is not None:
                     self.now += self.elapsed
-                    self.end(effect.tx, hop, effect.host, host.outcome)
+                    self.end(effect.tx, attempt, effect.host, host.outcome)
             elif isinstance(effect, (interface.RollBack, interface.Abandon)):
                 assert effect.tx not in self.answers, "answered twice"
                 self.answers[effect.tx] = type(effect)
             elif isinstance(effect, interface.SetTimer):
                 self.timers.append((self.now + effect.delay, effect.timer_id))
 
-    def end(self, tx, hop, host, outcome, elapsed=None):
+    def end(self, tx, attempt, host, outcome, elapsed=None):
         closed = outcome == interface.COMMITTED
         if closed:
             self.answers.setdefault(tx, interface.COMMITTED)
-        self.deliver(interface.AttemptEnded(tx, hop, host, outcome, elapsed or self.elapsed, closed))
+        self.deliver(interface.AttemptEnded(tx, attempt, host, outcome, elapsed or self.elapsed, closed))
 
     def arrive(self, profile=IDEMPOTENT, key=None, time_left=20_000, tenant=None):
         tx, self.next_tx = self.next_tx, self.next_tx + 1
