--- a/basalthook/policy/decide.py
+++ b/basalthook/policy/decide.py
@@ -35,6 +35,8 @@
 
 
 class Proxy(Hosts):
+    """The decisions of one client process; `handle` is called for every event."""
+
     def handle(self, now, event, seen_to=None):
         """Process an event at `now` and return its effects, in the order in which to carry them out.
 
@@ -45,6 +47,7 @@
         return self.effects
 
     def transition(self, tx, input_):
+        """Apply an input, and those that follow from it, to the transaction's state."""
         while input_ is not None:
             tx.state, effect = TRANSITIONS.get((tx.state, input_), (tx.state, None))
             input_ = getattr(self, effect)(tx) if effect else None
@@ -78,6 +81,7 @@
         self.serve_queue()
 
     def on_host_list(self, event):
+        """Take over a host list; with live weights, also how loaded the fleet is."""
         listed = {entry.host_id for entry in event.hosts}
         for host in self.hosts.values():
             if host.unlisted or event.complete and host.id not in listed:
@@ -151,6 +155,7 @@
         return "capacity" if self.now >= tx.queue_until else None
 
     def serve_queue(self):
+        """Send what can be sent of the first entries in the queue."""
         for entry in self.queue[:QUEUE_LOOK_AHEAD]:
             tx = self.txs.get(entry[2])
             if tx is None or tx.state != "waiting":
@@ -161,6 +166,7 @@
                 self.transition(tx, "capacity")
 
     def finish(self, tx):
+        """Cancel attempts that nobody waits for any more."""
         if self.settings.can_cancel:
             self.effects += [interface.CancelAttempt(tx.id, attempt) for attempt in tx.attempts]
 
@@ -180,6 +186,7 @@
         )
 
     def send(self, tx, host):
+        """Begin an attempt at the host; false if the rules do not allow it."""
         if not (self.may_attempt(tx) and self.admits(tx, host)):  # the rules, at every attempt
             return False
         attempt, now, usual = len(tx.tried), self.now, self.latency[tx.profile_id]
--- a/basalthook/policy/records.py
+++ b/basalthook/policy/records.py
@@ -29,6 +29,8 @@
 
 
 class Transaction:
+    """One transaction, from its arrival to the end of its last attempt; times in ticks."""
+
     def __init__(self, event, now, profile):
         self.id, self.key, self.profile_id, self.profile = event.tx, event.key, event.profile, profile
         self.groups = ("profile", event.profile), ("tenant", event.tenant)
--- a/basalthook/terms.py
+++ b/basalthook/terms.py
@@ -20,10 +20,12 @@
 
 
 def ticks_rounded_up(ns: int) -> int:
+    """Nanoseconds in ticks of 0.1 ms; used where a time that is too short would do harm."""
     return -(-ns // TICK_NS)
 
 
 def choice(setup: dict, name: str, choices: tuple[str, ...], default: str | None = None) -> str:
+    """A setting that is one of `choices`; ValueError if it is not."""
     found = setup[name] if default is None else setup.get(name, default)
     if not isinstance(found, str) or found not in choices:
         raise ValueError(f"settings.{name}: {found!r} is not one of {', '.join(choices)}")
@@ -31,6 +33,7 @@
 
 
 def integer(setup: dict, name: str, least: int) -> int:
+    """A setting that is an integer of `least` or more; ValueError if it is not."""
     found = setup[name]
     if isinstance(found, bool) or not isinstance(found, int) or found < least:
         raise ValueError(f"settings.{name}: {found!r} is not an integer of {least} or more")
@@ -38,6 +41,7 @@
 
 
 def boolean(group: dict, name: str, of: str = "allowed") -> bool:
+    """A setting of the group `of` that is a boolean, false by default; ValueError if it is not."""
     found = group.get(name, False)
     if not isinstance(found, bool):
         raise ValueError(f"settings.{of}.{name}: {found!r} is not a boolean")
@@ -58,6 +62,10 @@
 
 
 def policy_settings(setup: dict) -> interface.PolicySettings:
+    """Settings of the decisions, from the settings of a start-up file.
+
+    KeyError: one is missing; ValueError: one is not valid.
+    """
     rules, allowed, prices = setup["rules"], setup["allowed"], setup.get("prices", {})
     profiles = tuple(
         interface.Profile(
