--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -154,7 +154,7 @@
         return self.slowdown > BUSY and self.load > SPARE or bool(self.queue) and not self.queue[0][0]
 
     def at_limit(self):
-        """Of all attempts, as many proxies with one each overload hosts; overdue, slow ones don't count."""
+        """Too many attempts: many proxies with one each overload hosts. Overdue and slow ones don't count."""
         if self.settings.live_weights or not (self.home_zone or self.busy()):
             return False
         usual, held = self.base_load(self.sent), len(self.attempts)
