--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -38,7 +38,7 @@
         return await self.connect()
 
     async def connect(self):
-        caller = await Caller().to(self.listener.address)
+        caller = await Caller().connect(self.listener.address)
         self.addAsyncCleanup(caller.stop)
         return caller
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -48,11 +48,11 @@
         caller = await self.start_proxy(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
         self.set_settle_time(0)
         for _ in range(4):
-            caller.ask("submit")
+            caller.send_request("submit")
             head, body, whole = await self.read_response(caller)
             self.assertIn(" 200 ", head)
             self.assertEqual((body == LONG, whole, "Connection" in head), (True, True, False))
-        self.assertEqual(await caller.outcome(profile="submit"), 200)
+        self.assertEqual(await caller.status(profile="submit"), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
         self.assertEqual(self.log.failed_attempts(), [])
 
@@ -66,7 +66,7 @@
         ]
         caller = await self.start_proxy(SocketHost(*responses))
         for size in sizes:
-            caller.ask("submit")
+            caller.send_request("submit")
             _, body, whole = await self.read_response(caller)
             self.assertEqual((body, whole), (LONG[:size] + b"!", True), size)
 
@@ -75,33 +75,33 @@
         chunks = CHUNKED[:-12]
         caller = await self.start_proxy(SocketHost((SIZED[:-5],), (chunks,), chunks + b"zz\r\n"))
         for _ in range(3):
-            caller.ask("submit")
+            caller.send_request("submit")
             _, _, whole = await self.read_response(caller)
             self.assertFalse(whole)
             caller = await self.connect()
 
     async def test_a_client_that_does_not_read_stalls_only_its_host_and_is_closed(self):
         first, second = await self.start_proxy(SocketHost(SILENT), SocketHost(SILENT)), await self.connect()
-        first.ask("submit")
+        first.send_request("submit")
         await asyncio.wait(
-            [asyncio.ensure_future(h.got.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
+            [asyncio.ensure_future(h.received.get()) for h in self.hosts], return_when=asyncio.FIRST_COMPLETED
         )
         with unittest.mock.patch("basalthook.bodies.forwarder.STALL_TIMEOUT_S", 0.5):
             (writer,) = (w for h in self.hosts for w in h.writers)
             first.writer.transport.pause_reading()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000000\r\n\r\n" + b"x" * 50_000_000)
             for host in self.hosts:
-                host.ways = [OK]
-            self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
+                host.replies = [OK]
+            self.assertEqual(await second.status(key="k2", profile="submit"), 200)
             await asyncio.wait_for(self.wait_until(lambda: len(self.service.clients.open_clients) == 1), 10)
         self.assertEqual(len(self.service.owner.transactions), 0)
 
     async def test_a_client_that_disconnects_ends_its_hosts_connection(self):
         caller = await self.start_proxy(SocketHost(SIZED[:-1000]))
-        caller.ask("submit")
+        caller.send_request("submit")
         await caller.reader.readuntil(b"\r\n\r\n")
         await caller.stop()
-        self.assertTrue(await self.hosts[0].ended.get())
+        self.assertTrue(await self.hosts[0].disconnects.get())
 
     async def test_long_request_bodies_reach_every_attempted_host_complete(self):
         refused = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -109,8 +109,8 @@
         for n in range(6):
             chunked = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG)
             caller.writer.write(HEAD % b"b%d" % n + (chunked if n % 2 else SENT))
-            self.assertEqual((await caller.answer())[0], 200)
-        bodies = [host.got.get_nowait()[1] for host in self.hosts for _ in range(host.got.qsize())]
+            self.assertEqual((await caller.read_response())[0], 200)
+        bodies = [host.received.get_nowait()[1] for host in self.hosts for _ in range(host.received.qsize())]
         self.assertEqual(len(bodies), 7)  # one attempt was refused
         self.assertEqual({hashlib.sha256(body).digest() for body in bodies}, {hashlib.sha256(LONG).digest()})
         self.assertEqual(self.service.clients.body_memory.in_use, 0)
@@ -128,12 +128,12 @@
         await self.wait_until(lambda: self.service.clients.body_memory.waiting)
         first.writer.write(SENT[100_000:])
         for caller in (first, second):
-            self.assertEqual((await caller.answer())[0], 200)
+            self.assertEqual((await caller.read_response())[0], 200)
         begin(first, 3, 100_000)
         await self.wait_until(lambda: self.service.clients.body_memory.in_use)
         with unittest.mock.patch("basalthook.routing.clients.MEMORY_TIMEOUT_S", 0.02):
             begin(second, 4, 100_000)
-            self.assertEqual((await second.answer())[0], 503)
+            self.assertEqual((await second.read_response())[0], 503)
         await first.stop()
         await self.wait_until(lambda: not self.service.clients.body_memory.in_use)
 
@@ -141,7 +141,7 @@
         caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
-            self.assertEqual((await caller.answer())[0], 503)
+            self.assertEqual((await caller.read_response())[0], 503)
         self.assertEqual(
             (self.service.clients.body_memory.in_use, len(self.service.clients.open_clients)), (0, 1)
         )
@@ -153,9 +153,9 @@
             for at in range(0, 375_000, 37_500):
                 caller.writer.write(LONG[at : at + 37_500])
                 await asyncio.sleep(0.1)
-            self.assertEqual((await caller.answer())[0], 200)
+            self.assertEqual((await caller.read_response())[0], 200)
             caller.writer.write(HEAD % b"s2" + SENT[:200_000])
-            self.assertEqual((await caller.answer())[0], 408)
+            self.assertEqual((await caller.read_response())[0], 408)
         self.assertEqual(self.service.clients.body_memory.in_use, 0)
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -23,17 +23,17 @@
         return caller
 
     async def call(self, method, path, data=None):
-        caller = await Caller().to(self.service.console.address)
+        caller = await Caller().connect(self.service.console.address)
         self.addAsyncCleanup(caller.stop)
         caller.writer.write(data or f"{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
-        status, body, head = await caller.answer()
+        status, body, head = await caller.read_response()
         self.assertEqual(await caller.reader.read(), b"")  # one request per connection
         return status, body, head
 
     async def health(self):
         caller = await self.connect()
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        return (await caller.answer())[0]
+        return (await caller.read_response())[0]
 
     async def test_every_request_is_answered_at_once_and_none_is_a_fault(self):
         await self.start_proxy(SocketHost())
@@ -65,7 +65,7 @@
 
     async def test_connections_without_a_complete_request_block_no_other(self):
         await self.start_proxy(SocketHost())
-        slow = [await Caller().to(self.service.console.address) for _ in range(20)]
+        slow = [await Caller().connect(self.service.console.address) for _ in range(20)]
         for connection in slow:
             connection.writer.write(b"PUT /-/dr")
         await self.wait_until(lambda: len(self.service.callers.connections) == 12)
@@ -87,11 +87,11 @@
             [first.line("s-0", state="draining")],
         )
         for version, lines in enumerate(lists, 2):
-            self.discovery.tell(version, *lines, second.line("s-1"), full=not lines)
+            self.discovery.publish(version, *lines, second.line("s-1"), full=not lines)
             await self.wait_until(lambda v=version: self.service.watch.version == v)
             for n in range(6):
-                self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
-        self.assertEqual(first.got.qsize(), 0)
+                self.assertEqual(await caller.status(key=f"k{n}"), 200)
+        self.assertEqual(first.received.qsize(), 0)
         row = json.loads((await self.call("GET", "/-/hosts"))[1].split(b"\n")[0])
         self.assertEqual((row["id"], row["out"], row["ready"]), ("s-0", True, False))
 
@@ -102,16 +102,16 @@
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
         server = next(s for s in self.service.owner.policy.hosts.values() if s.entry.started_at)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
-        self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
+        self.discovery.publish(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
         await self.wait_until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
         for n in itertools.count():
-            if host.got.qsize():
+            if host.received.qsize():
                 return
-            self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
+            self.assertEqual(await caller.status(key=f"k{n}"), 200)
 
     async def test_nothing_is_sent_to_a_host_disabled_while_its_connection_was_established(self):
         caller = await self.start_proxy(SocketHost())
@@ -125,26 +125,26 @@
             return open_connection(address, connected)
 
         self.service.pool.open_connection = disabled_meanwhile
-        caller.ask("submit", timeout="0.3")
-        self.assertEqual((await caller.answer())[0], 503)
+        caller.send_request("submit", timeout="0.3")
+        self.assertEqual((await caller.read_response())[0], 503)
         self.assertEqual(
-            (self.log.failed_attempts(), self.hosts[0].got.qsize()), ([("untried", interface.UNSENT)], 0)
+            (self.log.failed_attempts(), self.hosts[0].received.qsize()), ([("untried", interface.UNSENT)], 0)
         )
 
     async def test_with_all_hosts_disabled_transactions_are_rolled_back(self):
         caller = await self.start_proxy(SocketHost(), SocketHost())
         for host in ("s-0", "s-1"):
             await self.call("PUT", f"/-/hosts/{host}/disable")
-        self.assertEqual(await caller.outcome(timeout="0.2"), 503)
+        self.assertEqual(await caller.status(timeout="0.2"), 503)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
 
     async def test_a_drain_closes_client_connections_and_interrupts_no_request(self):
         idle, busy = await self.start_proxy(SocketHost(SILENT)), await self.connect()
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)  # no effect without a drain
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        await idle.answer()
-        busy.ask("submit")
-        await self.hosts[0].got.get()
+        await idle.read_response()
+        busy.send_request("submit")
+        await self.hosts[0].received.get()
         silent = await self.connect()
         with unittest.mock.patch.multiple(
             "basalthook.routing.clients",
@@ -158,19 +158,19 @@
             self.assertEqual(await idle.reader.read(), b"")
             self.assertEqual(await silent.reader.read(), b"")
         late = await self.connect()  # new clients may still connect for a moment
-        late.ask("submit", key="k2")
-        await self.hosts[0].got.get()
+        late.send_request("submit", key="k2")
+        await self.hosts[0].received.get()
         for writer in self.hosts[0].writers:
             writer.write(OK)
         for caller in (busy, late):
-            status, _, head = await caller.answer()
+            status, _, head = await caller.read_response()
             self.assertEqual((status, "Connection: close" in head), (200, True))
         self.assertEqual((await self.call("PUT", "/-/resume"))[0], 200)
         self.assertEqual(await self.health(), 200)
-        self.hosts[0].ways = [OK]
+        self.hosts[0].replies = [OK]
         again = await self.connect()
-        again.ask()
-        status, _, head = await again.answer()
+        again.send_request()
+        status, _, head = await again.read_response()
         self.assertEqual((status, "Connection: close" in head), (200, False))
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -10,13 +10,13 @@
 from basalthook.policy import interface
 from basalthook.protocol import catalogue
 from basalthook.recovery.discovery_schedule import SILENCE_TIMEOUT, URGENT_RETRIES, DiscoverySchedule
-from tests.fake import SETTINGS, TERMS, SocketDiscovery, SocketHost
+from tests.fake import POLICY_DEFAULTS, SETTINGS, SocketDiscovery, SocketHost
 from tests.loopback import Loopback
 
 
 def make_schedule(seed=1, **terms):
     return DiscoverySchedule(
-        interface.PolicySettings(**{**TERMS, "drain_grace": 5_000, **terms}), Random(seed)
+        interface.PolicySettings(**{**POLICY_DEFAULTS, "drain_grace": 5_000, **terms}), Random(seed)
     )
 
 
@@ -124,15 +124,17 @@
     async def host_leaves(self, seconds, mode, then=int):
         """The watch falls silent after one answer; a new call gets the change, and the host no more work."""
         caller = await self.start_proxy(SocketHost(), SocketHost(), mode=mode)
-        self.discovery.tell(2)
-        self.assertEqual([await self.discovery.got.get() for _ in range(2)][1].split("&")[0][-7:], "index=2")
+        self.discovery.publish(2)
+        self.assertEqual(
+            [await self.discovery.received.get() for _ in range(2)][1].split("&")[0][-7:], "index=2"
+        )
         then()
-        self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
-        self.discovery.news.put_nowait(b"")  # goes to the silent watch
-        self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
+        self.assertIn("index=2", await asyncio.wait_for(self.discovery.received.get(), seconds))
+        self.discovery.responses.put_nowait(b"")  # goes to the silent watch
+        self.discovery.publish(3, self.hosts[0].line("s-0", state="draining"))
         await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
-        self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
-        self.assertEqual(self.hosts[0].got.qsize(), 0)
+        self.assertEqual({await caller.status(key=f"k{n}") for n in range(10)}, {200})
+        self.assertEqual(self.hosts[0].received.qsize(), 0)
         await self.wait_until(lambda: len(self.service.watch.calls) == 1)
 
     async def test_the_first_watch_of_a_process_is_short_and_grows_with_each_answer(self):
@@ -142,9 +144,9 @@
             waits = []
             await self.start_proxy(SocketHost(), mode=mode, rules=rules)
             for _ in range(3):
-                line = await asyncio.wait_for(self.discovery.got.get(), 5)
+                line = await asyncio.wait_for(self.discovery.received.get(), 5)
                 waits.append(int(line.rsplit("wait=", 1)[1]))
-                self.discovery.tell(1)
+                self.discovery.publish(1)
             waits = [wait for wait in waits if wait]  # a pushed list is asked for once without a wait
             self.assertLessEqual(waits[0], longest)
             self.assertGreater(waits[-1], waits[0])
@@ -164,50 +166,50 @@
         # Changes take effect when discovery is back; one silent connection alone would miss them.
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.start_proxy(SocketHost(), mode="pushed", rules=rules)
-        self.discovery.tell(2)
-        await self.discovery.got.get(), await self.discovery.got.get()
+        self.discovery.publish(2)
+        await self.discovery.received.get(), await self.discovery.received.get()
         self.discovery.writers[-1].transport.abort()
-        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.3))
-        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.got.get(), 0.2))
+        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.received.get(), 0.3))
+        self.assertIn("wait=0", await asyncio.wait_for(self.discovery.received.get(), 0.2))
 
     async def test_a_call_that_fails_beside_a_silent_one_is_retried_within_the_grace(self):
         # The failed answer may have carried a change, and the other call stays silent.
         rules = {**SETTINGS["rules"], "drain_grace_ns": 500_000_000}
         await self.start_proxy(SocketHost(), rules=rules)
-        self.discovery.tell(2)
+        self.discovery.publish(2)
         for _ in range(3):  # the first call, the silent one and the parallel one
-            await asyncio.wait_for(self.discovery.got.get(), 2)
+            await asyncio.wait_for(self.discovery.received.get(), 2)
         self.discovery.writers[-1].transport.abort()
-        await asyncio.wait_for(self.discovery.got.get(), 0.3)
+        await asyncio.wait_for(self.discovery.received.get(), 0.3)
 
     async def test_changes_from_another_discovery_are_not_applied_before_its_whole_list(self):
         await self.start_proxy(SocketHost(), SocketHost())
-        await self.discovery.got.get()
+        await self.discovery.received.get()
         moved = await self.start_server(SocketDiscovery())
         self.service.watch.set_address(catalogue.parse_address(moved.address))
-        self.assertEqual(await moved.got.get(), "/catalog/members")
-        moved.tell(9, self.hosts[0].line("s-0"))  # full: false
-        self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
-        moved.tell(9, self.hosts[0].line("s-0"), full=True)
+        self.assertEqual(await moved.received.get(), "/catalog/members")
+        moved.publish(9, self.hosts[0].line("s-0"))  # full: false
+        self.assertEqual(await asyncio.wait_for(moved.received.get(), 2), "/catalog/members")
+        moved.publish(9, self.hosts[0].line("s-0"), full=True)
         await self.wait_until(lambda: not self.service.owner.registry.is_ready(1))
 
     async def test_sighup_with_the_same_address_makes_a_pending_retry_at_once(self):
         await self.start_proxy(SocketHost())
-        await self.discovery.got.get()
+        await self.discovery.received.get()
         watch, address = self.service.watch, self.service.watch.address
         self.discovery.writers[-1].transport.abort()
         await self.wait_until(lambda: watch.retry_timer is not None)
         watch.timers.cancel(watch.retry_timer)
         watch.retry_timer = watch.timers.set(50_000, watch.start_call, False)
         watch.set_address(address)
-        self.assertIn("index=1", await asyncio.wait_for(self.discovery.got.get(), 1))
+        self.assertIn("index=1", await asyncio.wait_for(self.discovery.received.get(), 1))
 
     async def test_a_discovery_with_a_lower_version_is_asked_for_the_whole_list(self):
         # Otherwise it would be asked forever for changes after a version that it never reaches.
         await self.start_proxy(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
-            self.discovery.tell(version, self.hosts[0].line("s-0", state="draining"), full=full)
-        asked = [await self.discovery.got.get() for _ in range(4)]
+            self.discovery.publish(version, self.hosts[0].line("s-0", state="draining"), full=full)
+        asked = [await self.discovery.received.get() for _ in range(4)]
         self.assertEqual((asked[2], "index=2&" in asked[3]), ("/catalog/members", True))
 
     async def test_a_discovery_that_always_answers_at_once_is_called_at_a_bounded_rate(self):
@@ -215,25 +217,25 @@
         for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):
             await self.start_proxy(SocketHost())
             for n in range(2, 1_000):
-                self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
+                self.discovery.publish(version(n), self.hosts[0].line("s-0"), full=True)
             await asyncio.sleep(0.5)
-            self.assertIn(self.discovery.got.qsize(), range(3, most))
+            self.assertIn(self.discovery.received.qsize(), range(3, most))
             await self.stop()
 
     async def test_a_list_of_eleven_hundred_hosts_is_applied_and_its_changes_too(self):
         caller = await self.start_proxy(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
-        self.discovery.tell(2, *lines, full=True)
+        self.discovery.publish(2, *lines, full=True)
         await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1_100)
-        self.discovery.tell(3, *({**line, "state": "draining"} for line in lines[:1_099]))
+        self.discovery.publish(3, *({**line, "state": "draining"} for line in lines[:1_099]))
         await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
 
     async def test_with_a_pushed_list_a_process_is_ready_after_its_first_answer_and_outlives_discovery(self):
         caller = await self.start_proxy(SocketHost(), SocketHost(), mode="pushed")
         self.assertFalse(self.service.clients.ready)
-        self.assertIn("wait=0", await self.discovery.got.get())
-        self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
+        self.assertIn("wait=0", await self.discovery.received.get())
+        self.discovery.publish(2, self.hosts[0].line("s-0", state="draining"))
         await self.wait_until(lambda: self.service.clients.ready)
         self.assertFalse(self.service.owner.registry.is_ready(0))
         await self.discovery.stop()
@@ -241,4 +243,4 @@
         lost = [line for line in self.log.lines if line["event"] == "list lost"]
         self.assertIn(len(lost), range(2, 8))
         self.assertTrue(all(line["again_ms"] <= 250 for line in lost))
-        self.assertEqual((await caller.outcome(), self.hosts[0].got.qsize()), (200, 0))
+        self.assertEqual((await caller.status(), self.hosts[0].received.qsize()), (200, 0))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -27,10 +27,10 @@
         caller = await self.start_proxy(SocketHost())
         self.set_settle_time(0)
         for _ in range(3):
-            caller.ask("submit", body=b"x" * 60_000)
-            status, body, _ = await caller.answer()
+            caller.send_request("submit", body=b"x" * 60_000)
+            status, body, _ = await caller.read_response()
             self.assertEqual((status, body), (200, b"done"))
-            head, body = await self.hosts[0].got.get()
+            head, body = await self.hosts[0].received.get()
             self.assertEqual(len(body), 60_000)
             self.assertIn("Request-Id: ", head.title())
         self.assertEqual(len(self.hosts[0].writers), 1)
@@ -40,19 +40,19 @@
         dead.server.close()
         await dead.server.wait_closed()
         caller = await self.start_proxy(alive)
-        self.discovery.tell(2, dead.line("s-dead"))
+        self.discovery.publish(2, dead.line("s-dead"))
         await self.wait_until(lambda: len(self.service.owner.registry.entries) == 2)
         for n in range(12):
-            self.assertEqual(await caller.outcome(profile="submit", key=f"k{n}"), 200)
+            self.assertEqual(await caller.status(profile="submit", key=f"k{n}"), 200)
         self.assertEqual(
             self.log.failed_attempts(), [("connecting", interface.UNREACHABLE)]
         )  # after that the host is banned
 
     async def test_a_transaction_that_must_not_run_twice_is_abandoned_after_a_reset(self):
         caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET))
-        self.assertEqual(await caller.outcome(profile="submit"), 502)
+        self.assertEqual(await caller.status(profile="submit"), 502)
         self.assertEqual(self.log.failed_attempts(), [("written", interface.RESET)])
-        self.assertEqual(sum(host.got.qsize() for host in self.hosts), 1)
+        self.assertEqual(sum(host.received.qsize() for host in self.hosts), 1)
 
     async def test_malformed_responses_are_never_passed_on(self):
         """A truncated body, bytes that are no HTTP, a protocol switch, an implausible length."""
@@ -66,7 +66,7 @@
         caller = await self.start_proxy(SocketHost(*responses))
         for response in responses:
             expected = 200 if response == OK else 502
-            self.assertEqual(await caller.outcome(profile="submit"), expected, response)
+            self.assertEqual(await caller.status(profile="submit"), expected, response)
 
     async def test_hosts_with_occasional_malformed_responses_stay_in_use(self):
         malformed = [
@@ -75,7 +75,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 5000,
         ]
         caller = await self.start_proxy(*(SocketHost(response, OK) for response in malformed))
-        statuses = [await caller.outcome(profile="submit", key=f"k{n}") for n in range(30)]
+        statuses = [await caller.status(profile="submit", key=f"k{n}") for n in range(30)]
         self.assertEqual((statuses.count(502), statuses.count(200)), (3, 27))
         self.assertEqual(self.log.failed_attempts(), [("answering", interface.ERROR)] * 3)
 
@@ -85,25 +85,25 @@
             *(SocketHost(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n") for _ in "ab")
         )
         for n in range(20):
-            self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
-        self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
+            self.assertEqual(await caller.status(profile="view", key=f"k{n}"), 400)
+        self.assertEqual(sum(host.received.qsize() for host in self.hosts), 20)
         self.assertEqual(
             {s.excluded_until.get("ban", 0) for s in self.service.owner.policy.hosts.values()}, {0}
         )
 
     async def test_a_transaction_that_all_hosts_refuse_is_rolled_back(self):
         caller = await self.start_proxy(SocketHost(REFUSED), SocketHost(REFUSED))
-        caller.ask("submit", timeout="0.300")
-        status, _, head = await caller.answer()
+        caller.send_request("submit", timeout="0.300")
+        status, _, head = await caller.read_response()
         self.assertEqual(status, 503)
         self.assertEqual(len(self.hosts[0].writers), 1)  # its connection is reused for the next attempt
 
     async def test_a_pooled_connection_that_has_ended_is_not_reused(self):
         caller = await self.start_proxy(SocketHost())
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         self.hosts[0].writers[0].close()
         await self.wait_until(lambda: not self.service.pool.idle_connections)
-        self.assertEqual(await caller.outcome(profile="submit"), 200)
+        self.assertEqual(await caller.status(profile="submit"), 200)
         self.assertEqual(self.log.failed_attempts(), [])
 
     async def test_a_connection_with_unsolicited_bytes_is_not_reused(self):
@@ -111,8 +111,8 @@
             SocketHost(OK + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnot", OK)
         )
         for _ in range(2):
-            caller.ask()
-            self.assertEqual((await caller.answer())[1], b"done")
+            caller.send_request()
+            self.assertEqual((await caller.read_response())[1], b"done")
         self.assertEqual(len(self.hosts[0].writers), 2)
 
     async def test_a_connection_rests_before_its_next_attempt(self):
@@ -120,32 +120,32 @@
         caller = await self.start_proxy(SocketHost())
         self.set_settle_time(60)
         for connections in (1, 2):
-            self.assertEqual(await caller.outcome(), 200)
+            self.assertEqual(await caller.status(), 200)
             self.assertEqual(len(self.hosts[0].writers), connections)
 
     async def test_a_new_host_at_an_old_address_inherits_no_connection(self):
         caller = await self.start_proxy(SocketHost())
         self.set_settle_time(0)
-        self.assertEqual(await caller.outcome(), 200)
-        self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
+        self.assertEqual(await caller.status(), 200)
+        self.discovery.publish(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
         await self.wait_until(lambda: self.service.owner.registry.is_ready(1))
         self.assertEqual(self.service.pool.idle_connections, {})
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
 
     async def test_an_idle_connection_is_closed_before_the_host_would_close_it(self):
         caller = await self.start_proxy(
             SocketHost(), allowed={**SETTINGS["allowed"], "keepalive_ns": 50_000_000}
         )
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         self.assertEqual(len(self.service.pool.idle_connections), 1)
-        self.assertTrue(await self.hosts[0].ended.get())
+        self.assertTrue(await self.hosts[0].disconnects.get())
         self.assertEqual((self.service.pool.idle_connections, self.service.pool.by_host), ({}, {}))
 
     async def test_an_attempt_at_a_silent_host_times_out_and_its_connection_is_closed(self):
         caller = await self.start_proxy(SocketHost(SILENT))
-        self.assertEqual(await caller.outcome(profile="submit", timeout="0.2"), 504)
-        self.assertTrue(await self.hosts[0].ended.get())
+        self.assertEqual(await caller.status(profile="submit", timeout="0.2"), 504)
+        self.assertTrue(await self.hosts[0].disconnects.get())
         self.assertEqual(self.log.failed_attempts(), [("written", interface.TIMED_OUT)])
         self.assertEqual(self.service.pool.idle_connections, {})
 
@@ -163,10 +163,10 @@
             return fresh(address, connected)
 
         self.service.pool.open_connection = close_meanwhile
-        caller.ask("submit")
+        caller.send_request("submit")
         await self.wait_until(self.log.failed_attempts)
         self.assertEqual(self.log.failed_attempts(), [("untried", interface.UNSENT)])
-        self.assertEqual((host.got.qsize(), len(self.service.pool.idle_connections)), (0, 1))
+        self.assertEqual((host.received.qsize(), len(self.service.pool.idle_connections)), (0, 1))
 
     async def test_the_outcome_follows_from_the_stage_alone(self):
         for stage, stopped, outcome in (
@@ -195,11 +195,11 @@
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(address)
-        self.discovery.tell(
+        self.discovery.publish(
             2, host.line("s-full", addr=f"127.0.0.1:{address[1]}"), host.line("s-0", state="removed")
         )
         await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
-        self.assertEqual(await caller.outcome(profile="submit", timeout="1.5"), 503)
+        self.assertEqual(await caller.status(profile="submit", timeout="1.5"), 503)
         self.assertEqual(self.log.failed_attempts(), [("connecting", interface.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
         for sock in (full, *fillers):
@@ -218,8 +218,8 @@
 
     async def test_an_attempt_decided_too_late_ends_as_unsent(self):
         caller = await self.start_proxy(SocketHost(SILENT))
-        caller.ask("submit")
-        await self.hosts[0].got.get()
+        caller.send_request("submit")
+        await self.hosts[0].received.get()
         (transaction,) = self.service.owner.transactions.values()
         transaction.closed = True
         dispatcher = self.service.owner
@@ -228,7 +228,7 @@
             dispatcher.on_timer(7)
         await self.wait_until(self.log.failed_attempts)
         self.assertEqual(self.log.failed_attempts(), [("untried", interface.UNSENT)])
-        self.assertEqual(self.hosts[0].got.qsize(), 0)
+        self.assertEqual(self.hosts[0].received.qsize(), 0)
 
     # ---- clients
 
@@ -236,7 +236,7 @@
         caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch("basalthook.routing.clients.READ_TIMEOUT_S", 0.02):
             caller.writer.write(b"GET /view HT")
-            self.assertEqual((await caller.answer())[0], 408)
+            self.assertEqual((await caller.read_response())[0], 408)
             self.assertEqual(await caller.reader.read(), b"")
 
     async def test_a_silent_client_is_disconnected_and_a_slow_one_is_served(self):
@@ -252,27 +252,27 @@
             slow.writer.write(part)
             await slow.writer.drain()
             await asyncio.sleep(0.01)
-        self.assertEqual((await slow.answer())[0], 200)
+        self.assertEqual((await slow.read_response())[0], 200)
 
     async def test_many_silent_connections_do_not_displace_hosts_or_active_clients(self):
         caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         silent = [await self.connect() for _ in range(60)]
         await self.wait_until(lambda: len(self.service.clients.open_clients) == 16)
         self.assertEqual(await silent[0].reader.read(), b"")  # the oldest silent one was closed
-        self.assertEqual(await caller.outcome(profile="submit"), 200)  # the active one was not
+        self.assertEqual(await caller.status(profile="submit"), 200)  # the active one was not
         self.assertEqual(len(self.service.pool.idle_connections), 1)
 
     async def test_many_clients_that_stop_within_a_head_do_not_lock_others_out(self):
         """They held all connections for 2.5 s, and others waited to be accepted; the score G fell to 0.37."""
         caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         stalled = []
         for _ in range(40):
             stalled.append(await self.connect())
             stalled[-1].writer.write(b"GET /view HT")
-        self.assertEqual((await stalled[0].answer())[0], 408)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual((await stalled[0].read_response())[0], 408)
+        self.assertEqual(await caller.status(), 200)
         self.assertLessEqual(len(self.service.clients.open_clients), 16)
 
     async def test_a_client_that_sends_slowly_outlasts_many_that_stop_within_a_head(self):
@@ -293,7 +293,7 @@
         await self.wait_until(lambda: sum(c.state == "new" for c in self.service.clients.open_clients) == 10)
         self.assertIn(slow_client, self.service.clients.open_clients)
         slow.writer.write(head[30:])
-        self.assertEqual((await slow.answer())[0], 200)
+        self.assertEqual((await slow.read_response())[0], 200)
 
     async def test_idle_connections_of_clients_leave_room_for_others(self):
         """Clients stayed connected after one request and locked others out; the score G fell to 0.37."""
@@ -302,8 +302,8 @@
             heads = []
             for _ in range(12):
                 other = await self.connect()
-                other.ask("submit")
-                heads.append((await other.answer())[2])
+                other.send_request("submit")
+                heads.append((await other.read_response())[2])
             self.assertNotIn("Connection: close", heads[0])
             self.assertIn("Connection: close", "".join(heads))
             self.service.descriptors.max_kept_alive_clients = 2
@@ -312,20 +312,20 @@
     async def test_a_request_id_that_is_open_is_rejected(self):
         first = await self.start_proxy(SocketHost(SILENT))
         second = await self.connect()
-        with unittest.mock.patch.object(Caller, "ids", iter("777")):
-            first.ask("submit")
-            await self.hosts[0].got.get()
-            self.assertEqual(await second.outcome(profile="submit"), 409)
+        with unittest.mock.patch.object(Caller, "request_ids", iter("777")):
+            first.send_request("submit")
+            await self.hosts[0].received.get()
+            self.assertEqual(await second.status(profile="submit"), 409)
             self.hosts[0].writers[0].write(OK)
-            self.assertEqual((await first.answer())[0], 200)
-            self.assertEqual(self.hosts[0].got.qsize(), 0)
+            self.assertEqual((await first.read_response())[0], 200)
+            self.assertEqual(self.hosts[0].received.qsize(), 0)
             self.assertEqual(self.service.clients.open_ids, set())
 
     async def test_a_client_that_keeps_sending_can_read_the_error_and_costs_little(self):
         caller = await self.start_proxy(SocketHost())
         caller.writer.write(b"POST /submit HTTP/1.1\r\nHost: s\r\nContent-Length: 60000000\r\n\r\n")
         caller.writer.write(b"x" * 60_000_000)
-        self.assertEqual((await caller.answer())[0], 413)
+        self.assertEqual((await caller.read_response())[0], 413)
         await self.wait_until(lambda: not self.service.clients.open_clients)
         with self.assertRaises(ConnectionError):  # the proxy has closed with most of it unread
             await caller.writer.drain()
@@ -334,44 +334,44 @@
         caller = await self.start_proxy(SocketHost())
         self.set_settle_time(0)
         for n in range(40):
-            caller.ask("submit" if n % 3 else "view", body=b"%d" % n, key=f"k{n}")
+            caller.send_request("submit" if n % 3 else "view", body=b"%d" % n, key=f"k{n}")
         for _ in range(40):
-            self.assertEqual((await caller.answer())[0], 200)
-        bodies = [self.hosts[0].got.get_nowait()[1] for _ in range(40)]
+            self.assertEqual((await caller.read_response())[0], 200)
+        bodies = [self.hosts[0].received.get_nowait()[1] for _ in range(40)]
         self.assertEqual(bodies, [b"%d" % n for n in range(40)])
 
     async def test_a_client_that_writes_before_its_response_is_paused_and_still_gets_it(self):
         caller = await self.start_proxy(SocketHost(SILENT))
-        caller.ask("submit")
-        await self.hosts[0].got.get()
+        caller.send_request("submit")
+        await self.hosts[0].received.get()
         caller.writer.write(b"x" * 3_000_000)
         (client,) = self.service.clients.open_clients
         await self.wait_until(lambda: client.connection.paused)
         self.hosts[0].writers[0].write(OK)
-        status, body, head = await caller.answer()
+        status, body, head = await caller.read_response()
         self.assertEqual((status, body, "Connection: close" in head), (200, b"done", False))
-        self.assertEqual((await caller.answer())[0], 431)  # the early bytes were no request
+        self.assertEqual((await caller.read_response())[0], 431)  # the early bytes were no request
         await self.wait_until(lambda: not self.service.clients.open_clients)
-        self.assertEqual(self.hosts[0].got.qsize(), 0)
+        self.assertEqual(self.hosts[0].received.qsize(), 0)
 
     async def test_a_flood_of_bad_input_does_not_flood_the_log(self):
         await self.start_proxy(SocketHost())
         for _ in range(100):
             caller = await self.connect()
             caller.writer.write(b"\0\r\n\r\n")
-            self.assertEqual((await caller.answer())[0], 400)
+            self.assertEqual((await caller.read_response())[0], 400)
             caller.writer.close()
         self.assertLessEqual(sum(line["event"] == "bad input" for line in self.log.lines), 60)
 
     async def test_health_check_and_a_client_that_disconnects(self):
         caller = await self.start_proxy(SocketHost(SILENT))
         caller.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        self.assertEqual((await caller.answer())[0], 200)
-        caller.ask("submit")
-        await self.hosts[0].got.get()
+        self.assertEqual((await caller.read_response())[0], 200)
+        caller.send_request("submit")
+        await self.hosts[0].received.get()
         caller.writer.close()
         self.assertTrue(
-            await self.hosts[0].ended.get()
+            await self.hosts[0].disconnects.get()
         )  # the attempt is cancelled, which these settings allow
         await self.wait_until(lambda: not self.service.owner.transactions)
         self.assertEqual(self.service.owner.policy.txs, {})
@@ -388,12 +388,12 @@
         ):
             caller = await self.connect()
             caller.writer.write(data)
-            self.assertEqual((await caller.answer())[0], status, data)
+            self.assertEqual((await caller.read_response())[0], status, data)
             if status == 200:
-                self.assertEqual((await caller.answer())[0], 400)
+                self.assertEqual((await caller.read_response())[0], 400)
             self.assertEqual(await caller.reader.read(), b"")
             caller.writer.close()
-        self.assertEqual(self.hosts[0].got.qsize(), 0)
+        self.assertEqual(self.hosts[0].received.qsize(), 0)
 
     async def test_a_client_that_expects_100_continue_gets_it(self):
         caller = await self.start_proxy(SocketHost())
@@ -403,52 +403,52 @@
         )
         self.assertIn(b" 100 ", await caller.reader.readuntil(b"\r\n\r\n"))
         caller.writer.write(b"hi")
-        self.assertEqual((await caller.answer())[0], 200)
+        self.assertEqual((await caller.read_response())[0], 200)
 
     # ---- discovery
 
     async def test_a_host_that_discovery_lists_as_draining_gets_nothing(self):
         caller = await self.start_proxy(SocketHost(), SocketHost())
-        self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
+        self.discovery.publish(2, self.hosts[0].line("s-0", state="draining"))
         await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
         for n in range(10):
-            self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
-        self.assertEqual((self.hosts[0].got.qsize(), self.hosts[1].got.qsize()), (0, 10))
+            self.assertEqual(await caller.status(key=f"k{n}"), 200)
+        self.assertEqual((self.hosts[0].received.qsize(), self.hosts[1].received.qsize()), (0, 10))
         for version in (3, 4):
-            self.discovery.tell(version)
+            self.discovery.publish(version)
         # waits are spread from once to twice ask_within, which is 10 ms, and a quarter of that at first
         for version, waits in ((1, "[234]"), (2, "[5-9]"), (3, r"1\d"), (4, r"1\d")):
-            self.assertRegex(await self.discovery.got.get(), rf"members\?index={version}&wait={waits}$")
+            self.assertRegex(await self.discovery.received.get(), rf"members\?index={version}&wait={waits}$")
 
     async def test_an_invalid_list_leaves_the_old_one_in_use_and_is_requested_again(self):
         caller = await self.start_proxy(SocketHost())
-        self.discovery.news.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-        self.discovery.news.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
+        self.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+        self.discovery.responses.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         lines = [
             self.hosts[0].line(f"s-{n}", state="draining") for n in range(500)
         ]  # longer than many buffers
-        self.discovery.tell(7, *lines, full=True)
+        self.discovery.publish(7, *lines, full=True)
         for _ in range(4):
-            self.assertIn("index=", await self.discovery.got.get())
+            self.assertIn("index=", await self.discovery.received.get())
         self.assertEqual(sum(line["event"] == "list lost" for line in self.log.lines), 2)
-        self.assertEqual(await caller.outcome(timeout="0.05"), 503)  # no host is ready any more
+        self.assertEqual(await caller.status(timeout="0.05"), 503)  # no host is ready any more
 
     async def test_a_host_that_moved_is_found_at_its_new_address(self):
         caller, moved = await self.start_proxy(SocketHost()), await self.start_server(SocketHost())
-        self.discovery.tell(2, moved.line("s-0"))
+        self.discovery.publish(2, moved.line("s-0"))
         await self.wait_until(lambda: [line for line in self.log.lines if line["event"] == "list"])
-        self.assertEqual(await caller.outcome(), 200)
-        self.assertEqual((self.hosts[0].got.qsize(), moved.got.qsize()), (0, 1))
+        self.assertEqual(await caller.status(), 200)
+        self.assertEqual((self.hosts[0].received.qsize(), moved.received.qsize()), (0, 1))
 
     async def test_an_exception_in_the_policy_costs_one_transaction_not_the_service(self):
         caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.owner.policy, "handle", side_effect=KeyError("defect")):
-            self.assertEqual(await caller.outcome(timeout="0.02"), 504)
+            self.assertEqual(await caller.status(timeout="0.02"), 504)
         self.assertIn(
             "RequestReceived", [line["where"] for line in self.log.lines if line["event"] == "fault"]
         )
         self.log.lines.clear()
-        self.assertEqual(await (await self.connect()).outcome(), 200)
+        self.assertEqual(await (await self.connect()).status(), 200)
 
     async def test_hosts_that_are_gone_are_forgotten_when_no_attempt_is_open(self):
         registry, host = HostRegistry(), await self.start_server(SocketHost())
@@ -484,10 +484,10 @@
 
     async def test_at_the_descriptor_limit_new_clients_are_answered(self):
         caller = await self.start_proxy(SocketHost(), sockets=16 + 8)
-        self.assertEqual(await caller.outcome(), 200)
+        self.assertEqual(await caller.status(), 200)
         for n in range(12):
             other = await self.connect()  # the earlier ones stay open until evicted
-            self.assertEqual(await other.outcome(profile="submit", key=f"k{n}"), 200)
+            self.assertEqual(await other.status(profile="submit", key=f"k{n}"), 200)
         self.assertLessEqual(self.service.clients.descriptors.in_use, 9)
 
     async def test_the_backlog_is_accepted_before_the_listener_closes(self):
@@ -503,19 +503,19 @@
         caller = await self.start_proxy(SocketHost(SILENT))
         idle, late = await self.connect(), await self.connect()
         idle.writer.write(b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n")
-        await idle.answer()
-        caller.ask("submit")
-        await self.hosts[0].got.get()
+        await idle.read_response()
+        caller.send_request("submit")
+        await self.hosts[0].received.get()
         end = asyncio.create_task(self.service.end(self.listener))
         self.assertEqual(await idle.reader.read(), b"")  # closed at once
         new = await self.connect()
         for client in (late, new):
-            client.ask("submit", key="k2")
-            await self.hosts[0].got.get()
+            client.send_request("submit", key="k2")
+            await self.hosts[0].received.get()
         for writer in self.hosts[0].writers:
             writer.write(OK)
         for client in (caller, late, new):
-            status, _, head = await client.answer()
+            status, _, head = await client.read_response()
             self.assertEqual((status, "Connection: close" in head), (200, True))
         await end
         self.assertEqual(self.log.lines[-1], {"event": "ended", "unanswered": 0})
