--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of this project against its own earlier states. Never run by the tests or by `serve`."""
+"""Benchmarks that compare this project with earlier versions of itself; `serve` does not use them."""
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""What the decisions cost by kind of event, at 10, 50 and 500 hosts.
+"""CPU time of the routing policy for each kind of event, with 10, 50 and 500 hosts.
 
     python -m benchmarks.decisions
 
-Plays transactions against hosts that answer after 20 ms (150 where a line waits), in made time and without
-any socket, and prints a table of microseconds a call: median of rounds, by event. Compare columns, and
-states, of one run.
+Replays transactions in simulated time and without sockets; hosts answer after 20 ms, or after 150 ms in the
+runs where transactions wait in the proxy's queue. Prints a table of microseconds per call: the median over
+the rounds, by event. Only columns, and versions of the project, of one run are comparable.
 """
 
 import statistics
@@ -19,14 +19,17 @@
 TITLES = {"TxArrived": "TxArrived", "AttemptEnded": "HopEnded", "TimerDue": "TimerDue"}  # by event class
 
 
-def play(count: int, transactions: int, waiting: bool) -> dict[str, float]:
-    """Mean microseconds a call for one proxy before `count` hosts; `waiting` keeps its line filled."""
+def time_events(host_count: int, transactions: int, queued: bool) -> dict[str, float]:
+    """Return the mean microseconds per call by column title, for one proxy with `host_count` hosts.
+
+    With `queued`, the proxy's slowdown is held at 2: hosts count as busy, and transactions wait in its queue.
+    """
     from basalthook.policy import interface
     from basalthook.policy.decide import Proxy
 
     kinds = interface.IDEMPOTENT, interface.NON_IDEMPOTENT
     profiles = tuple(interface.Profile(kind, interface.EVERYWHERE, 0, 5_000) for kind in kinds)
-    agreed = interface.PolicySettings(
+    settings = interface.PolicySettings(
         profiles=profiles,
         position=0,
         proxies=4,
@@ -42,58 +45,60 @@
         max_attempts=3,
         can_cancel=True,
         max_retry_after=20_000,
+        # a setting that only older versions of the policy have
         **({"second_copies": True} if "second_copies" in interface.PolicySettings._fields else {}),
-    )  # of older states
-    now, spent, calls, due = 1_000_000, dict.fromkeys(EVENTS, 0), dict.fromkeys(EVENTS, 0), []
-    proxy = Proxy(agreed, 1, now)
+    )
+    # simulated time in ticks of 0.1 ms; the timers are a heap of (time, timer id)
+    now, elapsed_ns, calls, timers = 1_000_000, dict.fromkeys(EVENTS, 0), dict.fromkeys(EVENTS, 0), []
+    proxy = Proxy(settings, 1, now)
     hosts = tuple(
         interface.HostEntry(n, 7919 * (n + 1) ** 3, "north" if n % 2 else "south", n, True, 1.0, None)
-        for n in range(count)
+        for n in range(host_count)
     )
     proxy.handle(now, interface.HostListReceived(hosts, True, True))
-    out, hops = [], {}
+    open_attempts, attempt_numbers = [], {}
 
     def handle(event) -> None:
-        begun = perf_counter_ns()
+        started = perf_counter_ns()
         effects = proxy.handle(now, event)
-        spent[TITLES[type(event).__name__]] += perf_counter_ns() - begun
+        elapsed_ns[TITLES[type(event).__name__]] += perf_counter_ns() - started
         calls[TITLES[type(event).__name__]] += 1
         for effect in effects:
             if isinstance(effect, interface.SendAttempt):
-                hop = hops[effect.tx] = hops.get(effect.tx, -1) + 1
-                out.append((now + (1_500 if waiting else 200), effect.tx, hop, effect.host, now))
+                attempt = attempt_numbers[effect.tx] = attempt_numbers.get(effect.tx, -1) + 1
+                open_attempts.append((now + (1_500 if queued else 200), effect.tx, attempt, effect.host, now))
             elif isinstance(effect, interface.SetTimer):
-                heappush(due, (now + effect.delay, effect.timer_id))
+                heappush(timers, (now + effect.delay, effect.timer_id))
 
     for tx in range(transactions):
-        now += 16 if waiting else 4
-        if waiting:
+        now += 16 if queued else 4
+        if queued:
             proxy.slowdown = 2.0
         handle(interface.TxArrived(tx, tx % 2, tx * 31 % 2000, 20_000))
-        while out and out[0][0] <= now:
-            _, done, hop, host, sent = out.pop(0)
-            handle(interface.AttemptEnded(done, hop, host, interface.COMMITTED, now - sent, True))
-        while due and due[0][0] <= now:
-            handle(interface.TimerDue(heappop(due)[1]))
-    return {name: spent[name] / max(1, calls[name]) / 1000 for name in EVENTS}
+        while open_attempts and open_attempts[0][0] <= now:
+            _, ended_tx, attempt, host, sent_at = open_attempts.pop(0)
+            handle(interface.AttemptEnded(ended_tx, attempt, host, interface.COMMITTED, now - sent_at, True))
+        while timers and timers[0][0] <= now:
+            handle(interface.TimerDue(heappop(timers)[1]))
+    return {title: elapsed_ns[title] / max(1, calls[title]) / 1000 for title in EVENTS}
 
 
 @click.command()
-@click.option("--tree", default=".", show_default=True, help="The state whose decisions are measured.")
+@click.option("--tree", default=".", show_default=True, help="Source tree whose policy is measured.")
 @click.option("--rounds", default=5, show_default=True)
 @click.option("--transactions", default=5_000, show_default=True)
 def main(tree: str, rounds: int, transactions: int) -> None:
-    """Measure the decisions by event and number of hosts."""
+    """Measure the policy's CPU time by event and number of hosts."""
     sys.path.insert(0, str(Path(tree).resolve()))
-    names = [name + more for more in ("", ", a line waits") for name in EVENTS]
-    click.echo("| hosts | " + " | ".join(names) + " |")
+    columns = [title + suffix for suffix in ("", ", a line waits") for title in EVENTS]
+    click.echo("| hosts | " + " | ".join(columns) + " |")
     click.echo("| --- " * (1 + 2 * len(EVENTS)) + "|")
-    for count in (10, 50, 500):
+    for host_count in (10, 50, 500):
         cells = []
-        for waiting in (False, True):
-            found = [play(count, transactions, waiting) for _ in range(rounds)]
-            cells += [f"{statistics.median(f[name] for f in found):.1f}" for name in EVENTS]
-        click.echo(f"| {count} | " + " | ".join(cells) + " |")
+        for queued in (False, True):
+            results = [time_events(host_count, transactions, queued) for _ in range(rounds)]
+            cells += [f"{statistics.median(result[title] for result in results):.1f}" for title in EVENTS]
+        click.echo(f"| {host_count} | " + " | ".join(cells) + " |")
 
 
 if __name__ == "__main__":
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The benchmarks: they start from a valid start-up file, and measure what they report."""
+"""Tests of the benchmarks: their start-up file is valid, and their figures are computed as documented."""
 
 import asyncio
 import unittest
@@ -11,17 +11,19 @@
 
 class Measurements(unittest.TestCase):
     def test_the_start_up_file_is_accepted_by_serve(self):
-        settings = decode(path.start_up(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {})
+        settings = decode(
+            path.start_up_document(["127.0.0.1:9001", "127.0.0.1:9002"], "127.0.0.1:8500", 256, 64), {}
+        )
         self.assertEqual(
             (len(settings.known_hosts.records), settings.profiles, settings.agreed.warm_keys),
             (2, {"read": 0, "write": 1}, True),
         )
 
     def test_every_kind_of_event_is_timed(self):
-        for waiting in (False, True):
-            times = decisions.play(10, 1_000, waiting)
-            # without waiting transactions no timer is due
-            expected = decisions.EVENTS if waiting else decisions.EVENTS[:2]
+        for queued in (False, True):
+            times = decisions.time_events(10, 1_000, queued)
+            # without queued transactions no timer is due
+            expected = decisions.EVENTS if queued else decisions.EVENTS[:2]
             self.assertTrue(all(times[name] > 0 for name in expected), times)
 
     def test_rates_are_medians_of_the_rounds_and_counts_are_sums(self):
@@ -80,10 +82,10 @@
             "body": 0,
             "seed": 1,
         }
-        loading = load.Load(settings)
-        results = await loading.run()
+        generator = load.Load(settings)
+        results = await generator.run()
         server.close()
-        for caller in loading.callers:
-            caller.transport.close()
+        for connection in generator.connections:
+            connection.transport.close()
         self.assertLess(results["asked"], 60)
         self.assertGreater(results["p99"], 200)  # a closed-loop load would report 20 ms
