--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -45,7 +45,7 @@
     while remaining:
         data = await reader.read(1 << 18)
         if not data:
-            raise RuntimeError(f"response body truncated: {remaining} of {size} bytes missing")
+            raise RuntimeError(f"response body truncated: {remaining} bytes missing")
         remaining -= len(data)
     writer.close()
 
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -107,7 +107,7 @@
         while line := await asyncio.wait_for(process.stdout.readline(), TIMEOUT_S):
             if json.loads(line)["event"] == event:
                 return time.perf_counter() - started
-        raise RuntimeError(f"proxy process ended before it logged {event!r}")
+        raise RuntimeError(f"proxy process ended before it logged {event}")
 
 
 def take_counts(clients: Clients) -> dict:
