--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -45,7 +45,7 @@
     while remaining:
         data = await reader.read(1 << 18)
         if not data:
-            raise RuntimeError(f"response body truncated: {remaining} bytes missing")
+            raise RuntimeError(f"response body truncated; bytes missing: {remaining}")
         remaining -= len(data)
     writer.close()
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""CPU time of the routing policy for each kind of event, with 10, 50 and 500 hosts.
+"""Time that the routing policy takes for each kind of event, with 10, 50 and 500 hosts.
 
     python -m benchmarks.decisions
 
@@ -88,7 +88,7 @@
 @click.option("--rounds", default=5, show_default=True)
 @click.option("--transactions", default=5_000, show_default=True)
 def main(tree: str, rounds: int, transactions: int) -> None:
-    """Measure the policy's CPU time by event and number of hosts."""
+    """Measure the policy's time per call by event and number of hosts."""
     sys.path.insert(0, str(Path(tree).resolve()))
     columns = [title + suffix for suffix in ("", ", a line waits") for title in EVENTS]
     click.echo("| hosts | " + " | ".join(columns) + " |")
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -204,9 +204,10 @@
 
 
 def medians(results: list[dict]) -> dict:
-    """Return the medians of figures over the rounds, and totals of the counts.
+    """Return the medians of the figures over the rounds, with totals of the counts.
 
-    `turned_away_ms`, the longest wait for an answer other than 200, is the maximum over the rounds.
+    `not_200` is the share of all answers with another status, `broken` includes transactions that were never
+    started, and `turned_away_ms`, the longest wait for an answer other than 200, is the maximum.
     """
     row = {
         name: round(statistics.median(result[name] for result in results if result[name] is not None), 2)
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -124,7 +124,7 @@
 
 
 async def main(upgrades: int, kills: int, client_count: int) -> dict:
-    """Run the upgrades, then the kills, and return the counts of both."""
+    """Run the upgrades, then the kills, and return the counts of both; ends only processes it started."""
     host_server = await asyncio.start_server(serve_host, "127.0.0.1", 0)
     discovery_server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
     addresses = [
