--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -16,8 +16,8 @@
 class ResponseForwarder:
     """Forwards the response that `parser` reads from `connection` to a client.
 
-    The client has the method `piece(data)`, which returns whether the data was written at once (if not,
-    it calls `resume` later), and `over(whole)`, which is called at the end.
+    The client has two methods. `write_piece(data)` returns whether the kernel has accepted all of the data;
+    if not, the client calls `resume` once it has. `relay_finished(whole)` is called once, at the end.
     """
 
     __slots__ = ("connection", "parser", "timers", "release", "client", "timer", "ended")
--- a/basalthook/recovery/discovery_schedule.py
+++ b/basalthook/recovery/discovery_schedule.py
@@ -3,26 +3,27 @@
 Pure: delays are returned, nothing here waits.
 
 A change of the host list takes effect a fixed time after discovery has it, whether or not this proxy has
-received it. So each delay below is a fraction of the time left until then. `ask_within` and `grace` stand for
-the rules `ask_within_ns` and `drain_grace_ns` of the start-up file, L for `SILENCE_TIMEOUT` + `grace`.
+received it. So each delay below is a fraction of the time left until then. `list_poll_interval` and
+`drain_grace` are fields of PolicySettings (the rules `ask_within_ns` and `drain_grace_ns` of the start-up
+file); L stands for `SILENCE_TIMEOUT` + `drain_grace`.
 
-Wait of a watch: `ask_within` times 1 to 2, at an offset of its own for each proxy. Without the offsets, a
-change that answers all proxies at once would make the whole fleet call at the same moment from then on. After
-the start and after trouble the wait is `INITIAL_WATCH_WAIT`, `ask_within` / 4 at most, and each answer
-doubles it.
+Wait of a watch: `list_poll_interval` times 1 to 2, at an offset of its own for each proxy. Without the
+offsets, a change that answers all proxies at once would make the whole fleet call at the same moment from
+then on. After the start, a failure or a silence the wait is `INITIAL_WATCH_WAIT`, `list_poll_interval` / 4 at
+most, and each answer doubles it.
 
-Silent watch: no answer L / 5 after its wait is over, or after its connection was begun. Another connection
-then asks at once (with a wait of 0) what has changed, beside the silent one and not in its place. A third
-follows after another L / 5, then one after each 2 L / 5, up to `MAX_PARALLEL_CALLS` at a time. The first
-answer of any call counts.
+Silent watch: no answer L / 5 after its wait is over, or after its connection was begun. A parallel call on
+another connection then asks with a wait of 0 what has changed, while the silent call stays open. A third
+call follows after another L / 5, then one after each 2 L / 5, up to `MAX_PARALLEL_CALLS` at a time. The first
+answer to any of them is used.
 
 One call failed while others have no answer yet: the failed answer may have carried a change, so another call
-is made after `grace` / 8, then / 4, then / 2, or after `FLEET_CALL_INTERVAL` times the number of proxies if
-that is longer.
+is made after `drain_grace` / 8, then / 4, then / 2, or after `FLEET_CALL_INTERVAL` times the number of
+proxies if that is longer.
 
-Pushed list, asked for at once (at the start and after a failure): the change may be in effect already, so the
-next parallel call is made after `grace` / 4, or `FLEET_CALL_INTERVAL` times the number of proxies if that is
-longer.
+Pushed list, requested without a wait (at the start and after a failure): the change may be in effect already,
+so the next parallel call is made after `drain_grace` / 4, or `FLEET_CALL_INTERVAL` times the number of
+proxies if that is longer.
 
 Time-out: `CALL_TIMEOUT` after the wait of a call is over. With a shorter one a slow discovery would never
 answer, as each new call goes to the end of its queue.
@@ -31,11 +32,11 @@
 - Urgent, when the change takes effect soon or has already (a watch fell silent, discovery moved):
   `URGENT_INITIAL_DELAY`, growing by half each time up to `URGENT_MAX_DELAY`, for `URGENT_RETRIES` attempts.
   These are counted from that event; failures before it use up none of them.
-- Pushed list, and for a few retries also an open watch that broke, as its answer may have carried a change:
-  `grace` / 8, then / 4, then / 2. Where discovery rejects callers, and always for a broken watch,
-  `FLEET_CALL_INTERVAL` times the number of proxies if that is longer, `MAX_RETRY_DELAY` at most.
-- Otherwise: `ask_within` / 4, `MAX_RETRY_DELAY` at most, because changes take effect a fixed time after
-  discovery is back, however long it has been away.
+- Pushed list, and for `GRACE_RETRIES` retries also an open watch that broke, as its answer may have carried a
+  change: `drain_grace` / 8, then / 4, then / 2. Where discovery rejects callers, and always for a broken
+  watch, `FLEET_CALL_INTERVAL` times the number of proxies if that is longer, `MAX_RETRY_DELAY` at most.
+- Otherwise: `list_poll_interval` / 4, `MAX_RETRY_DELAY` at most, because changes take effect a fixed time
+  after discovery is back, however long it has been away.
 """
 
 from random import Random
@@ -46,15 +47,15 @@
 SILENCE_TIMEOUT = 20_000  # after the wait of a call; from then on its changes count as received
 MAX_WATCH_WAIT = 600_000  # discovery holds a watch no longer; a longer wait would detect silence too late
 MAX_INITIAL_DELAY = 35_000  # before the first call of a new process: a second one must fit within 6 s
-INITIAL_WATCH_WAIT = 20_000  # after the start, a failure or silence; each answer doubles it, ...
-INITIAL_WAIT_DIVISOR = 4  # of ask_within; bounds the initial wait, as a change may take effect that soon
-MAX_WAIT_DOUBLINGS = 5  # ... this often: after a failed call changes take effect sooner than usual
-HEDGE_PARTS = 5  # of the time until the grace is over; parallel calls begin after 1, 2 and 4 parts
-PUSHED_HEDGE_DIVISOR = 4  # of the grace, until a call for a pushed change gets a parallel one
+INITIAL_WATCH_WAIT = 20_000  # after the start, a failure or silence; each answer doubles it
+INITIAL_WAIT_DIVISOR = 4  # of list_poll_interval; bounds the initial wait: changes may take effect soon
+MAX_WAIT_DOUBLINGS = 5  # of INITIAL_WATCH_WAIT: after a failed call changes take effect sooner than usual
+HEDGE_PARTS = 5  # of SILENCE_TIMEOUT + drain_grace; parallel calls begin after 1, 2 and 4 parts
+PUSHED_HEDGE_DIVISOR = 4  # of drain_grace, until a call for a pushed change gets a parallel one
 MAX_PARALLEL_CALLS = 6
 CALL_TIMEOUT = 50_000  # after the wait of a call; a change takes effect 6 s after discovery has it
 MAX_RETRY_DELAY = 20_000  # a change takes effect 6 s after discovery is back
-GRACE_RETRIES = 3  # after an answer; together they fit within the grace
+GRACE_RETRIES = 3  # after an answer; together they fit within drain_grace
 FLEET_CALL_INTERVAL = 100  # between two calls of the whole fleet while discovery rejects callers
 URGENT_INITIAL_DELAY = 2_000
 URGENT_MAX_DELAY = 10_000
@@ -172,7 +173,7 @@
         return min(default, max(MIN_RETRY_DELAY, int(soon)))
 
     def _grace_backoff(self, failures: int) -> float:
-        """Delay within the grace: the lost answer may have carried a change, which counts as received."""
+        """Delay within `drain_grace`: the lost answer may have carried a change, which counts as received."""
         return self.settings.drain_grace / 2 ** max(1, GRACE_RETRIES + 1 - failures)
 
     def _fleet_pacing(self, overloaded: bool) -> float:
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -40,7 +40,7 @@
             log_event,
         )
         self.timers = timers
-        self.calls: list[asyncio.Task] = []  # newest last, at most BESIDE_MOST; removed as they fail
+        self.calls: list[asyncio.Task] = []  # newest last, at most MAX_PARALLEL_CALLS; removed as they fail
         self.retry_timer = None  # of the next call, while no call is open
         # whether the complete list must come first, as versions may be numbered differently now
         self.needs_full_list = False
@@ -257,7 +257,8 @@
     def time_limits(self, connection: Connection, wait: int, silent_after: int, task: asyncio.Task):
         """Time limits for what is awaited inside.
 
-        A parallel call opens `silent_after` ticks past `wait`, and the connection fails `GIVE_UP` past it.
+        A parallel call opens `silent_after` ticks after `wait` is over, and the connection fails
+        `CALL_TIMEOUT` ticks after it is over.
         """
         reason = f"no answer within {(wait + CALL_TIMEOUT) / self.timers.ticks_per_second:g} s"
         limits = (
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -215,7 +215,7 @@
         return log
 
     def test_an_answer_that_arrived_in_time_counts_although_the_loop_was_blocked(self):
-        """The attempt's limit, the second look and the connect timer all fall due during the stall."""
+        """The attempt's time limit, the policy's timer and the connect timeout all fall due in the stall."""
         host = SocketHost(SILENT)
 
         async def story(service, address):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -416,7 +416,7 @@
         self.assertEqual((self.hosts[0].got.qsize(), self.hosts[1].got.qsize()), (0, 10))
         for version in (3, 4):
             self.discovery.tell(version)
-        # waits are spread from once to twice ask_within, which is 10 ms, and a quarter of that at first
+        # waits are one to two times ask_within_ns, which is 10 ms here, and start at a quarter of that
         for version, waits in ((1, "[234]"), (2, "[5-9]"), (3, r"1\d"), (4, r"1\d")):
             self.assertRegex(await self.discovery.got.get(), rf"members\?index={version}&wait={waits}$")
 
