--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -1,6 +1,6 @@
 """Hot restart of one client proxy: state handed from the old process to the new, and which one accepts.
 
-Both processes use files in a shared folder. The new one takes over the operators' orders, the host list and
+Both processes use files in a shared folder. The new one takes over the operator overrides, the host list and
 the state of the decision policy, and records that it serves as soon as it does. The old one sees that, stops
 accepting connections from the shared backlog and finishes its work. Either may be killed at any moment: the
 other finds its lock released and goes on alone.
@@ -19,7 +19,7 @@
 from .record import BadRecord
 
 POLL_INTERVAL_S = 0.1  # between two checks of the other process's files; a check takes microseconds
-WRITE_INTERVAL_S = 0.5  # between two records of the state; operators' orders are written at once
+WRITE_INTERVAL_S = 0.5  # between two records of the state; operator overrides are written at once
 FINAL_WRITE_TIMEOUT_S = 1.0  # for the last record, once all transactions are answered
 MAX_STATE_AGE = 15 * TICKS_PER_SECOND  # older state is worth less than the start-up file
 # Raised for records with a valid checksum and unexpected content.
@@ -38,8 +38,8 @@
 
     def __init__(
         self,
-        registry: ProcessRegistry,
-        owner: Dispatcher,
+        process_registry: ProcessRegistry,
+        dispatcher: Dispatcher,
         clients,
         watch,
         timers: Timers,
@@ -50,13 +50,18 @@
         log_event,
     ) -> None:
         """`profiles`: names by index; `half_life`: ticks in which restored load estimates are halved."""
-        self.registry, self.owner, self.clients, self.watch = registry, owner, clients, watch
+        self.process_registry, self.dispatcher, self.clients, self.watch = (
+            process_registry,
+            dispatcher,
+            clients,
+            watch,
+        )
         self.timers, self.clock, self.profiles, self.half_life = timers, clock, profiles, half_life
         self.callbacks, self.log_event = callbacks, log_event
-        self.roster = owner.registry
+        self.host_registry = dispatcher.registry
         self.other_process = ""  # id of the process that shares the limits with this one
         self.accepting = self.ending = False
-        self.orders_signature = self.serving_signature = None
+        self.overrides_signature = self.serving_signature = None
         self.pending_writes: dict[str, object] = {}  # name of a record that failed -> function that writes it
         self.next_pending_write = 0
         self.next_state_write = 0
@@ -65,18 +70,18 @@
     # ---- start as a successor
 
     def load_state(self, fallback: HostList) -> tuple[HostList, dict | None]:
-        """The host list to start with and the policy's state, if any. Call before the owner starts."""
-        error = self.registry.register()
+        """The host list to start with and the policy's state, if any. Call before the dispatcher starts."""
+        error = self.process_registry.register()
         if error:
             self.log_error(error)
             return fallback, None
-        serving = self.registry.serving_process()
+        serving = self.process_registry.serving_process()
         if isinstance(serving, BadRecord):
             self.log_error(serving.reason)
-        elif serving and self.registry.is_alive(serving):
+        elif serving and self.process_registry.is_alive(serving):
             self.other_process = serving
-        self.merge_orders()
-        found = record.read(self.registry.state_path)
+        self.merge_overrides()
+        found = record.read(self.process_registry.state_path)
         if isinstance(found, BadRecord):
             self.log_error(found.reason)
         elif found is not None:
@@ -98,14 +103,14 @@
             return fallback, None
 
     def restore_state(self, state: dict | None) -> None:
-        """Call once the owner has its first host list."""
+        """Call once the dispatcher has its first host list."""
         if state is None:
             return
         try:
             restored = policy_state.restore_state(
-                self.owner.policy,
+                self.dispatcher.policy,
                 state,
-                self.roster.numbers_by_id,
+                self.host_registry.numbers_by_id,
                 self.profiles,
                 self.clock.now(),
                 self.half_life,
@@ -116,18 +121,18 @@
             "taken over",
             hosts=restored,
             age_ms=(self.clock.now() - state["at"]) / 10,
-            orders=len(self.roster.overrides.by_host),
+            orders=len(self.host_registry.overrides.by_host),
             beside=bool(self.other_process),
         )
 
     def start_serving(self) -> None:
         """This process serves from now on; its predecessor, if alive, stops accepting."""
         self.accepting = True
-        if self.registry.lock_fd < 0:
+        if self.process_registry.lock_fd < 0:
             return
         self.share_limits(self.other_process)
         self.claim_serving()
-        self.serving_signature = record.file_signature(self.registry.serving_path)
+        self.serving_signature = record.file_signature(self.process_registry.serving_path)
         self.poll()
 
     # ---- while running
@@ -135,14 +140,14 @@
     def poll(self) -> None:
         """Checks the other process and its files, and writes own records that are due."""
         self.timer = self.timers.set(int(POLL_INTERVAL_S * TICKS_PER_SECOND), self.poll)
-        if record.file_signature(self.registry.orders_path) != self.orders_signature:
-            self.merge_orders()
-        if record.file_signature(self.registry.serving_path) != self.serving_signature:
-            self.serving_signature = record.file_signature(self.registry.serving_path)
-            serving = self.registry.serving_process()
-            if isinstance(serving, str) and serving not in ("", self.registry.own_id):
+        if record.file_signature(self.process_registry.overrides_path) != self.overrides_signature:
+            self.merge_overrides()
+        if record.file_signature(self.process_registry.serving_path) != self.serving_signature:
+            self.serving_signature = record.file_signature(self.process_registry.serving_path)
+            serving = self.process_registry.serving_process()
+            if isinstance(serving, str) and serving not in ("", self.process_registry.own_id):
                 self.on_succeeded(serving)
-        if self.other_process and not self.registry.is_alive(self.other_process):
+        if self.other_process and not self.process_registry.is_alive(self.other_process):
             self.on_other_gone()
         if self.pending_writes and self.clock.now() >= self.next_pending_write:
             self.next_pending_write = self.clock.now() + int(WRITE_INTERVAL_S * TICKS_PER_SECOND)
@@ -165,15 +170,15 @@
         if not self.accepting and not self.ending:
             self.accepting = True
             self.claim_serving()
-            self.serving_signature = record.file_signature(self.registry.serving_path)
+            self.serving_signature = record.file_signature(self.process_registry.serving_path)
             self.callbacks.set_accepting(True)
 
     def claim_serving(self) -> None:
         """Records that this process serves; retried later if it can't be written."""
-        error = self.registry.claim_serving()
+        error = self.process_registry.claim_serving()
         if error:
             self.log_error(error)
-            self.pending_writes["serving"] = self.registry.claim_serving
+            self.pending_writes["serving"] = self.process_registry.claim_serving
 
     def retry_pending_writes(self) -> None:
         """Retries records that a full or failing disk rejected: a successor still needs them."""
@@ -182,26 +187,26 @@
                 del self.pending_writes[record_name]
                 self.log_event(f"{record_name} kept")
 
-    def write_orders(self) -> str:
+    def write_overrides(self) -> str:
         """Returns an error, or "" on success."""
-        error = record.write(self.registry.orders_path, self.roster.overrides.to_dict())
-        self.orders_signature = record.file_signature(self.registry.orders_path)
+        error = record.write(self.process_registry.overrides_path, self.host_registry.overrides.to_dict())
+        self.overrides_signature = record.file_signature(self.process_registry.overrides_path)
         return error
 
     def share_limits(self, other_process: str) -> None:
         """Shares the limits with this process; "": with none."""
         self.other_process = other_process
         self.callbacks.update_limits()
-        self.owner.post(ProcessCountChanged(2 if other_process else 1))
+        self.dispatcher.post(ProcessCountChanged(2 if other_process else 1))
 
-    def merge_orders(self) -> None:
-        """Applies the operators' orders that the other process has recorded."""
-        self.orders_signature = record.file_signature(self.registry.orders_path)
-        found = record.read(self.registry.orders_path)
+    def merge_overrides(self) -> None:
+        """Applies the operator overrides that the other process has recorded."""
+        self.overrides_signature = record.file_signature(self.process_registry.overrides_path)
+        found = record.read(self.process_registry.overrides_path)
         if found is None:
             return
         try:
-            orders = OperatorOverrides.from_dict(found)
+            overrides = OperatorOverrides.from_dict(found)
         except INVALID_RECORD_ERRORS as error:
             found = (
                 found
@@ -210,36 +215,38 @@
             )
         if isinstance(found, BadRecord):
             return self.log_error(found.reason)
-        changed = self.roster.overrides.merge(orders)
+        changed = self.host_registry.overrides.merge(overrides)
         if changed:
-            self.log_event("orders taken over", hosts=sorted(changed), drained=orders.drained)
-            if self.roster.entries:  # else they apply to the first list anyway
-                self.owner.post(OverridesChanged(changed))
-        if self.roster.overrides.drained != self.clients.drained:
-            self.clients.set_drained(self.roster.overrides.drained)
+            self.log_event("orders taken over", hosts=sorted(changed), drained=overrides.drained)
+            if self.host_registry.entries:  # else they apply to the first list anyway
+                self.dispatcher.post(OverridesChanged(changed))
+        if self.host_registry.overrides.drained != self.clients.drained:
+            self.clients.set_drained(self.host_registry.overrides.drained)
 
-    def save_orders(self, orders: OperatorOverrides) -> str:
-        """Writes the orders before the operator gets an answer. Returns an error, or "" on success."""
-        if self.registry.lock_fd < 0:
+    def save_overrides(self, overrides: OperatorOverrides) -> str:
+        """Writes the overrides before the operator gets an answer. Returns an error, or "" on success."""
+        if self.process_registry.lock_fd < 0:
             return "no folder to write to"
-        if record.file_signature(self.registry.orders_path) != self.orders_signature:
-            self.merge_orders()  # else orders written by the other process meanwhile would be lost
-        error = self.write_orders()
+        if record.file_signature(self.process_registry.overrides_path) != self.overrides_signature:
+            self.merge_overrides()  # else overrides written by the other process meanwhile would be lost
+        error = self.write_overrides()
         if error:
-            self.pending_writes["orders"] = self.write_orders
+            self.pending_writes["orders"] = self.write_overrides
         return error
 
     def write_state(self) -> None:
         """Queues a record of the host list and the policy's state."""
-        ids = {number: place.id for number, place in self.roster.entries.items()}
+        ids = {number: entry.id for number, entry in self.host_registry.entries.items()}
         lines = [
-            list(place.discovered) for place in self.roster.entries.values() if not place.discovered.removed
+            list(entry.discovered)
+            for entry in self.host_registry.entries.values()
+            if not entry.discovered.removed
         ]
         self.writer.put(
-            self.registry.state_path,
+            self.process_registry.state_path,
             {
                 "list": {"version": self.watch.version, "lines": lines},
-                "known": policy_state.export_state(self.owner.policy, ids, self.profiles)
+                "known": policy_state.export_state(self.dispatcher.policy, ids, self.profiles)
                 | {"at": self.clock.now()},
             },
         )
@@ -256,7 +263,7 @@
 
     def end(self) -> None:
         """SIGTERM was received: writes the state as it is now, for the last time."""
-        if self.accepting and self.registry.lock_fd >= 0:
+        if self.accepting and self.process_registry.lock_fd >= 0:
             self.write_state()
         self.ending, self.accepting = True, False
 
@@ -265,4 +272,4 @@
         self.timers.cancel(self.timer)
         if not self.writer.wait(FINAL_WRITE_TIMEOUT_S):
             self.log_error(f"{self.registry.state_path}: not written within {FINAL_WRITE_TIMEOUT_S:g} s")
-        self.registry.unregister()
+        self.process_registry.unregister()
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -60,9 +60,9 @@
         raise BadScenario(f"{told.name}: several proxies need depth `processes` or `decisions`")
     fleet = Fleet(told, wire, loop.time, told.seed)
     await fleet.open()
-    service = Service(decode(start_up(told, fleet), {}), books, turns=turns)
+    service = Service(decode(start_up(told, fleet), {}), books, selector=turns)
     listener = service.begin()
-    fleet.console = service.console.address
+    fleet.console = service.admin_listener.address
     clients = Clients(told.load, wire, loop.time, told.seed, [listener.address])
     begin = loop.time()
     to_come = [loop.call_at(begin + at, act, fleet, *given) for at, act, given in moments(told.faults)]
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -46,9 +46,10 @@
     start_up = read_start_up(path, fleet)
     log = Log(start_up.name)
     try:
-        turns = TimedSelector()
+        selector = TimedSelector()
         run_loop(
-            run(start_up, log, lambda: startup.read(path, os.environ, fleet), turns, early_hangup), turns
+            run(start_up, log, lambda: startup.read(path, os.environ, fleet), selector, early_hangup),
+            selector,
         )
     except startup.StartUpError as error:
         exit_with_error(error)
@@ -56,9 +57,9 @@
 
 
 async def run(
-    start_up: startup.StartUp, log: Log, read_again, turns: TimedSelector, early_hangup: EarlyHangup
+    start_up: startup.StartUp, log: Log, read_again, selector: TimedSelector, early_hangup: EarlyHangup
 ) -> None:
-    await Service(start_up, log, read_again, turns, early_hangup).run()
+    await Service(start_up, log, read_again, selector, early_hangup).run()
 
 
 @main.command()
--- a/basalthook/program/fleet_member.py
+++ b/basalthook/program/fleet_member.py
@@ -19,11 +19,11 @@
 TICK_S = 0.05
 RETRY_DELAY_S = 0.5  # while the previous process still holds the address
 # Seed random generators of their own: drawing from the policy's generator would change its decisions.
-TALK_SEED_MASK, LIMITS_SEED_MASK = 0x7A1C, 0x11317
+GOSSIP_SEED_MASK, LIMITS_SEED_MASK = 0x7A1C, 0x11317
 
 
 class FleetMember:
-    """Call `begin` once the owner has started.
+    """Call `begin` once the dispatcher has started.
 
     `begin` raises OSError if the address can't be bound, unless `wait_for_address` is set.
     """
@@ -32,11 +32,11 @@
         self,
         config,
         name: str,
-        agreed,
+        settings,
         limits: list,
         max_hard_limit_s: float,
         seed: int,
-        owner: Dispatcher,
+        dispatcher: Dispatcher,
         clock: Clock,
         timers: Timers,
         wait_for_address: bool,
@@ -46,63 +46,63 @@
 
         `wait_for_address`: retry while the previous process still holds the address.
         """
-        self.config, self.owner, self.clock, self.timers, self.wait_for_address, self.log = (
+        self.config, self.dispatcher, self.clock, self.timers, self.wait_for_address, self.log_event = (
             config,
-            owner,
+            dispatcher,
             clock,
             timers,
             wait_for_address,
             log_event,
         )
-        lives = {kind: int(seconds * TICKS_PER_SECOND) for kind, seconds in config.lives.items()}
+        lifetimes = {kind: int(seconds * TICKS_PER_SECOND) for kind, seconds in config.lives.items()}
         life = clocks.wall_ns() // 1_000_000
         self.driver: Driver | None = None
-        self.talk = Gossip(
+        self.gossip = Gossip(
             config.name or name,
             config.address,
             life,
             list(config.seeds),
             config.key,
-            lives,
-            Random(seed ^ TALK_SEED_MASK),
+            lifetimes,
+            Random(seed ^ GOSSIP_SEED_MASK),
             self.send,
             log_event,
         )
         self.verdict_engine = self.limits = None
         if config.verdicts:
             self.verdict_engine = HostVerdicts(
-                owner.policy, self.talk.table, agreed.zone, self.talk.live, self.log_event
+                dispatcher.policy, self.gossip.table, settings.zone, self.gossip.live, self.log_with_host_id
             )
-            self.verdict_engine.on_urgent_fact = self.talk.send_rumours
-        owner.event_handler = self.verdict_engine or FaultAggregator(owner.policy)
+            self.verdict_engine.on_urgent_fact = self.gossip.send_rumours
+        dispatcher.event_handler = self.verdict_engine or FaultAggregator(dispatcher.policy)
         if limits:
             hard_limit = int(max_hard_limit_s * TICKS_PER_SECOND)
             self.limits = FleetLimits(
-                owner.event_handler,
-                owner.policy,
+                dispatcher.event_handler,
+                dispatcher.policy,
                 limits,
-                self.talk.name,
+                self.gossip.name,
                 life,
                 config.keepers,
-                agreed.position,
-                agreed.proxies,
+                settings.position,
+                settings.proxies,
                 hard_limit,
                 Random(seed ^ LIMITS_SEED_MASK),
-                self.talk.send_to,
-                self.talk.live,
+                self.gossip.send_to,
+                self.gossip.live,
                 clock.now(),
-                self.log_event,
+                self.log_with_host_id,
             )
-            self.limits.post_event = owner.post
-            self.talk.message_lengths, self.talk.on_message = MESSAGE_LENGTHS, self.limits.received
-            owner.event_handler = self.limits
+            self.limits.post_event = dispatcher.post
+            self.gossip.message_lengths, self.gossip.on_message = MESSAGE_LENGTHS, self.limits.received
+            dispatcher.event_handler = self.limits
         self.timer = None
 
-    def log_event(self, event: str, **fields) -> None:
+    def log_with_host_id(self, event: str, **fields) -> None:
         """Logs an event; one that names a host also gets the host's id."""
         numbers = self.verdict_engine.host_by_subject if self.verdict_engine is not None else {}
-        place = self.owner.registry.entries.get(numbers.get(fields.get("host", ""), -1))
-        self.log(event, **fields, **({"id": place.id} if place else {}))
+        entry = self.dispatcher.registry.entries.get(numbers.get(fields.get("host", ""), -1))
+        self.log_event(event, **fields, **({"id": entry.id} if entry else {}))
 
     def begin(self) -> None:
         """Opens the socket and joins the fleet."""
@@ -111,36 +111,36 @@
         except OSError as error:
             if not self.wait_for_address:
                 raise
-            self.log("members wait", reason=error.strerror)
+            self.log_event("members wait", reason=error.strerror)
             self.timer = self.timers.set(int(RETRY_DELAY_S * TICKS_PER_SECOND), self.begin)
             return
         if self.limits is not None:
             self.limits.activate(self.clock.now())
-        self.log("members", listen=list(self.driver.address), name=self.talk.name)
-        self.talk.begin(self.clock.now())
+        self.log_event("members", listen=list(self.driver.address), name=self.gossip.name)
+        self.gossip.begin(self.clock.now())
         self.tick()
 
     def tick(self) -> None:
         """Runs the periodic work: membership, limits and verdicts."""
         self.timer = self.timers.set(int(TICK_S * TICKS_PER_SECOND), self.tick)
         now = self.clock.now()
-        self.talk.tick(now)
+        self.gossip.tick(now)
         if self.limits is not None:
             self.limits.tick(now)
-        judgement = (
-            self.verdict_engine.evaluate(now, self.owner.observed_until(now))
+        host_verdicts = (
+            self.verdict_engine.evaluate(now, self.dispatcher.observed_until(now))
             if self.verdict_engine is not None
             else None
         )
-        if judgement is not None:
-            self.owner.post(judgement)
+        if host_verdicts is not None:
+            self.dispatcher.post(host_verdicts)
 
     def on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         """Handles a datagram from another member."""
         try:
-            self.talk.received(self.clock.now(), data, source)
+            self.gossip.received(self.clock.now(), data, source)
         except Exception as error:  # a bad datagram must not stop the service
-            self.log("fault", where="members", error=repr(error))
+            self.log_event("fault", where="members", error=repr(error))
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
         if self.driver is not None:
@@ -152,7 +152,7 @@
         if self.driver is not None:
             if self.limits is not None:
                 self.limits.leave(self.clock.now())
-            self.talk.member.leave()
+            self.gossip.member.leave()
             self.driver.close()
             self.driver = None
 
@@ -160,7 +160,7 @@
 
     def members(self) -> list[dict]:
         """A row for each member, this one included, by name."""
-        member = self.talk.member
+        member = self.gossip.member
         rows = [
             {
                 "name": peer.name,
@@ -179,11 +179,11 @@
 
     def verdicts(self) -> list[dict]:
         """A row for each host with a verdict."""
-        places = self.owner.registry.entries
+        entries = self.dispatcher.registry.entries
         if self.verdict_engine is None:
             return []
         return [
-            {**row, "host": places[row["host"]].id if row["host"] in places else str(row["host"])}
+            {**row, "host": entries[row["host"]].id if row["host"] in entries else str(row["host"])}
             for row in self.verdict_engine.view(self.clock.now())
         ]
 
--- a/basalthook/program/metrics_log.py
+++ b/basalthook/program/metrics_log.py
@@ -14,14 +14,14 @@
 
     def __init__(
         self,
-        owner: Dispatcher,
+        dispatcher: Dispatcher,
         clients: Clients,
         attempts: AttemptRunner,
         watch: Watch,
         timers: Timers,
         log_event,
     ) -> None:
-        self.owner, self.clients, self.attempts, self.watch = owner, clients, attempts, watch
+        self.dispatcher, self.clients, self.attempts, self.watch = dispatcher, clients, attempts, watch
         self.timers, self.log_event = timers, log_event
 
     def begin(self) -> None:
@@ -35,8 +35,8 @@
             list_failures=schedule.failures,
             list_urgent=schedule.urgent,
             list_calls=self.watch.calls_started,
-            endpoints_ready=sum(place.ready for place in self.owner.registry.entries.values()),
-            requests_open=len(self.owner.transactions),
+            endpoints_ready=sum(entry.ready for entry in self.dispatcher.registry.entries.values()),
+            requests_open=len(self.dispatcher.transactions),
             connections=len(self.clients.open_clients),
             answers=dict(self.clients.response_counts),
             attempts=dict(self.attempts.outcome_counts),
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -52,10 +52,10 @@
         start_up: StartUp,
         log: Log,
         read_start_up=None,
-        turns: TimedSelector | None = None,
+        selector: TimedSelector | None = None,
         early_hangup: EarlyHangup | None = None,
     ) -> None:
-        """`turns`: of the event loop; without them, own lateness can't be told from the silence of hosts."""
+        """`selector`: of the event loop; without it, own lateness can't be told from the silence of hosts."""
         self.start_up, self.log, self.early_hangup, self.stop_requested = (
             start_up,
             log,
@@ -64,7 +64,7 @@
         )
         self.handover: Handover | None = None
         self.clock = clock = Clock()
-        roster = HostRegistry(start_up.agreed.use_unlisted, StartTimes(clock.now))
+        registry = HostRegistry(start_up.agreed.use_unlisted, StartTimes(clock.now))
         self.timers = timers = Timers(clock.now, TICKS_PER_SECOND)
         self.reloader = Reloader(read_start_up, self.apply_start_up, timers, log.log_event)
         buffers, descriptors = (
@@ -72,40 +72,40 @@
             DescriptorBudget(self.descriptor_limit(start_up)),
         )
         self.descriptors = descriptors
-        self.owner = Dispatcher(
+        self.dispatcher = Dispatcher(
             start_up.agreed,
             start_up.seed,
             clock,
             timers,
-            roster,
-            turns.read_lag if turns else lambda: 0,
+            registry,
+            selector.read_lag if selector else lambda: 0,
             log.log_event,
         )
-        urgent: set[int] = set()
-        if turns:
-            turns.priority_fds, turns.urgent_fds = descriptors.outgoing_fds, urgent
+        admin_fds: set[int] = set()
+        if selector:
+            selector.priority_fds, selector.urgent_fds = descriptors.outgoing_fds, admin_fds
         admission = AdmissionControl(
             min(p.service_goal for p in start_up.agreed.profiles), Random(start_up.seed ^ ADMISSION_SEED_MASK)
         )
         self.pool = HostPool(
             buffers, descriptors, timers, start_up.idle_timeout_s, start_up.connect_timeout_s
         )
-        self.attempts = AttemptRunner(self.pool, clock, timers, roster, self.owner, log.log_event)
-        following = DiscoverySchedule(start_up.agreed, self.owner.policy.rng)
+        self.attempts = AttemptRunner(self.pool, clock, timers, registry, self.dispatcher, log.log_event)
+        schedule = DiscoverySchedule(start_up.agreed, self.dispatcher.policy.rng)
         self.watch = Watch(
             start_up.discovery,
             start_up.known_hosts.version,
-            following,
-            self.owner,
+            schedule,
+            self.dispatcher,
             buffers,
             descriptors,
             timers,
             log.log_event,
         )
-        self.owner.begin_attempt = self.attempts.begin
-        roster.on_host_left = self.pool.close_idle
+        self.dispatcher.begin_attempt = self.attempts.begin
+        registry.on_host_left = self.pool.close_idle
         self.clients = Clients(
-            self.owner,
+            self.dispatcher,
             clock,
             timers,
             admission,
@@ -115,23 +115,27 @@
             BodyMemory(start_up.max_body_bytes),
             log.log_event,
         )
-        self.metrics = MetricsLog(self.owner, self.clients, self.attempts, self.watch, timers, log.log_event)
-        self.staff = OperatorCallHandler(self.owner, roster, self.clients, clock, log.log_event)
-        self.callers = AdminServer(self.staff.handle, timers, buffers, urgent, log.log_event)
-        self.console: Listener | None = None
+        self.metrics = MetricsLog(
+            self.dispatcher, self.clients, self.attempts, self.watch, timers, log.log_event
+        )
+        self.operator_calls = OperatorCallHandler(
+            self.dispatcher, registry, self.clients, clock, log.log_event
+        )
+        self.admin_server = AdminServer(self.operator_calls.handle, timers, buffers, admin_fds, log.log_event)
+        self.admin_listener: Listener | None = None
         self.listener: Listener | None = None
         self.fleet_member = None
         if start_up.fleet is not None:  # imported only here
             from .fleet_member import FleetMember
 
-            self.fleet_member = self.staff.fleet = FleetMember(
+            self.fleet_member = self.operator_calls.fleet = FleetMember(
                 start_up.fleet,
                 start_up.name,
                 start_up.agreed,
                 start_up.fleet.to_limits(start_up.profiles),
                 start_up.max_hard_limit_s,
                 start_up.seed,
-                self.owner,
+                self.dispatcher,
                 clock,
                 timers,
                 bool(start_up.folder),
@@ -141,7 +145,7 @@
             names = [name for name, _ in sorted(start_up.profiles.items(), key=lambda item: item[1])]
             self.handover = Handover(
                 ProcessRegistry(start_up.folder, start_up.name),
-                self.owner,
+                self.dispatcher,
                 self.clients,
                 self.watch,
                 timers,
@@ -151,7 +155,7 @@
                 HandoverCallbacks(self.set_accepting, self.update_descriptor_limit),
                 log.log_event,
             )
-            self.staff.save_overrides = self.handover.save_orders
+            self.operator_calls.save_overrides = self.handover.save_overrides
 
     def descriptor_limit(self, start_up: StartUp) -> int:
         """Descriptors for all but operators, who have their own; half while another process is alive."""
@@ -204,13 +208,13 @@
         if self.handover is not None:
             known_hosts, policy_state = self.handover.load_state(known_hosts)
             self.watch.version = known_hosts.version
-        self.owner.start(known_hosts)
+        self.dispatcher.start(known_hosts)
         if self.handover is not None:
             self.handover.restore_state(policy_state)
         if self.start_up.console:
-            self.console = self.open_listener(self.start_up.console, self.callers.accept)
-            self.callers.urgent_fds.add(self.console.socket.fileno())
-            self.console.open()
+            self.admin_listener = self.open_listener(self.start_up.console, self.admin_server.accept)
+            self.admin_server.urgent_fds.add(self.admin_listener.socket.fileno())
+            self.admin_listener.open()
         inherited = None
         if self.start_up.inherited:
             try:
@@ -249,8 +253,8 @@
         self.log.log_event(
             "ready",
             listen=list(self.listener.address),
-            hosts=len(self.owner.registry.entries),
-            **({"console": list(self.console.address)} if self.console else {}),
+            hosts=len(self.dispatcher.registry.entries),
+            **({"console": list(self.admin_listener.address)} if self.admin_listener else {}),
         )
 
     def open_listener(self, address: tuple[str, int], take, inherited=None) -> Listener:
@@ -278,7 +282,7 @@
         self.log.log_event(
             "ending",
             connections=len(self.clients.open_clients),
-            transactions=len(self.owner.transactions),
+            transactions=len(self.dispatcher.transactions),
             list_age_s=round(self.watch.seconds_since_answer(), 1),
         )
         self.clients.ready = False
@@ -314,11 +318,12 @@
     def close(self) -> None:
         """Logs the end and releases all resources."""
         self.log.log_event(
-            "ended", unanswered=sum(not order.closed for order in self.owner.transactions.values())
+            "ended",
+            unanswered=sum(not transaction.closed for transaction in self.dispatcher.transactions.values()),
         )
-        if self.console is not None:
-            self.console.close()
-            self.callers.close()
+        if self.admin_listener is not None:
+            self.admin_listener.close()
+            self.admin_server.close()
         if self.fleet_member is not None:
             self.fleet_member.close()
         if self.handover is not None:
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -86,13 +86,13 @@
 
 def _decode(document: dict, environ, fleet) -> StartUp:
     settings, allowed = document["settings"], document["settings"]["allowed"]
-    agreed = terms.policy_settings(settings)
-    if fleet is not None and not agreed.peer_reports:
+    policy_settings = terms.policy_settings(settings)
+    if fleet is not None and not policy_settings.peer_reports:
         raise ValueError(
             "settings.allowed.peers: this deployment allows no messages among proxies, "
             "but a fleet file is given"
         )
-    agreed = agreed._replace(
+    policy_settings = policy_settings._replace(
         peer_reports=False
     )  # only the simulator carries the messages that this setting allows
     name = str(document.get("name") or environ.get("RELAY_NAME") or "proxy")
@@ -117,7 +117,7 @@
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
         sockets=min(descriptor_limit, int(document.get("limits", {}).get("sockets") or descriptor_limit)),
         max_body_bytes=int(max(4, memory - PROGRAM_MEMORY_MB) * 2**20 * BODY_MEMORY_SHARE),
-        agreed=agreed,
+        agreed=policy_settings,
         profiles=terms.profile_indices(settings),
         connect_timeout_s=allowed["connect_timeout_ns"] / 1e9,
         idle_timeout_s=allowed.get("keepalive_ns", 0) / 1e9,
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -429,7 +429,7 @@
         self.buffers, self.descriptors = buffers, descriptors
         descriptors.reclaimers.append(lambda: self.close_idle(1))
         self.response_deadline = NEVER  # ticks; set when this process ends: by then all must be answered
-        self.ready, self.max_retry_after = False, dispatcher.agreement.max_retry_after
+        self.ready, self.max_retry_after = False, dispatcher.settings.max_retry_after
         self.drain_timer = None  # of the next sweep, while drained by an operator
         self.sweep_scheduled = False
         self.open_ids: set[str] = set()  # Request-Ids of transactions without a response
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -121,7 +121,7 @@
 
     def __init__(
         self,
-        agreement: interface.PolicySettings,
+        settings: interface.PolicySettings,
         seed: int,
         clock: Clock,
         timers: Timers,
@@ -130,8 +130,8 @@
         log_event,
     ) -> None:
         """`read_lag_ns()`: age in nanoseconds of the last moment up to which all input has been read."""
-        self.agreement, self.clock, self.timers, self.registry, self.log_event = (
-            agreement,
+        self.settings, self.clock, self.timers, self.registry, self.log_event = (
+            settings,
             clock,
             timers,
             registry,
@@ -139,7 +139,7 @@
         )
         self.read_lag_ns = read_lag_ns
         # the event handler is the policy itself, or a component that wraps it
-        self.policy = self.event_handler = Proxy(agreement, seed, clock.now())
+        self.policy = self.event_handler = Proxy(settings, seed, clock.now())
         self.queue: deque = deque()
         self.processing, self.next_number = False, 0
         self.transactions: dict[int, Transaction] = {}
@@ -280,7 +280,7 @@
         transaction = self.transactions[effect.tx]
         time_limit = min(effect.time_limit, transaction.deadline - self.clock.now())
         too_late = (
-            transaction.closed or time_limit <= 0 or len(transaction.attempts) >= self.agreement.max_attempts
+            transaction.closed or time_limit <= 0 or len(transaction.attempts) >= self.settings.max_attempts
         )
         entry = self.registry.attempt_started(effect.host)
         transaction.attempts.append(
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -124,7 +124,7 @@
         ready(listening[0].getsockname()[:2])
     elif layer == "program":
         service = Service(told, Log("floor"), None, turns)
-        service.owner.policy = NextHost()
+        service.dispatcher.policy = NextHost()
         return await service.run()
     else:
         buffers, descriptors, hosts_at = BufferPool(16 * 1024, 128), DescriptorBudget(4096), cycle(addresses)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -94,7 +94,7 @@
                 host.ways = [OK]
             self.assertEqual(await second.outcome(key="k2", profile="submit"), 200)
             await asyncio.wait_for(self.wait_until(lambda: len(self.service.clients.open_clients) == 1), 10)
-        self.assertEqual(len(self.service.owner.transactions), 0)
+        self.assertEqual(len(self.service.dispatcher.transactions), 0)
 
     async def test_a_client_that_disconnects_ends_its_hosts_connection(self):
         caller = await self.start_proxy(SocketHost(SIZED[:-1000]))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -19,11 +19,11 @@
 class Console(Loopback):
     async def start_proxy(self, *hosts, **settings):
         caller = await super().start_proxy(*hosts, console="127.0.0.1:0", **settings)
-        self.addCleanup(self.service.console.close)
+        self.addCleanup(self.service.admin_listener.close)
         return caller
 
     async def call(self, method, path, data=None):
-        caller = await Caller().to(self.service.console.address)
+        caller = await Caller().to(self.service.admin_listener.address)
         self.addAsyncCleanup(caller.stop)
         caller.writer.write(data or f"{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         status, body, head = await caller.answer()
@@ -65,15 +65,15 @@
 
     async def test_connections_without_a_complete_request_block_no_other(self):
         await self.start_proxy(SocketHost())
-        slow = [await Caller().to(self.service.console.address) for _ in range(20)]
+        slow = [await Caller().to(self.service.admin_listener.address) for _ in range(20)]
         for connection in slow:
             connection.writer.write(b"PUT /-/dr")
-        await self.wait_until(lambda: len(self.service.callers.connections) == 12)
+        await self.wait_until(lambda: len(self.service.admin_server.connections) == 12)
         self.assertEqual((await self.call("GET", "/-/ready"))[0], 200)
         for connection in slow:
             self.assertEqual(await asyncio.wait_for(connection.reader.read(), 5), b"")
             await connection.stop()
-        await asyncio.wait_for(self.wait_until(lambda: not self.service.callers.descriptors.in_use), 5)
+        await asyncio.wait_for(self.wait_until(lambda: not self.service.admin_server.descriptors.in_use), 5)
 
     async def test_a_disabled_host_gets_nothing_until_it_is_enabled_whatever_the_list_says(self):
         caller = await self.start_proxy(SocketHost(), SocketHost())
@@ -100,11 +100,11 @@
         for _ in range(2):  # disabled twice, enabled once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.owner.policy.hosts.values() if s.entry.started_at)
-        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
+        server = next(s for s in self.service.dispatcher.policy.hosts.values() if s.entry.started_at)
+        self.assertAlmostEqual(server.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
         await self.wait_until(lambda: self.service.watch.version == 2)
-        self.assertAlmostEqual(server.cold_since, self.service.owner.clock.now(), delta=20_000)
+        self.assertAlmostEqual(server.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
@@ -119,7 +119,7 @@
 
         def disabled_meanwhile(address, on_connected):
             def connected(failure):
-                self.service.staff.handle(AdminRequest("disable", "s-0"))
+                self.service.operator_calls.handle(AdminRequest("disable", "s-0"))
                 on_connected(failure)
 
             return open_connection(address, connected)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -101,7 +101,7 @@
         caller = await self.start_proxy(SocketHost(SILENT))
         caller.ask("view")
         await self.hosts[0].got.get()
-        dispatcher, (client,) = self.service.owner, self.service.clients.open_clients
+        dispatcher, (client,) = self.service.dispatcher, self.service.clients.open_clients
         (transaction,) = dispatcher.transactions.values()
         dispatcher.processing = True  # as while an item is handled: new ones are queued
         client.on_closed(None)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -130,7 +130,7 @@
         self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
         self.discovery.news.put_nowait(b"")  # goes to the silent watch
         self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(0))
         self.assertEqual({await caller.outcome(key=f"k{n}") for n in range(10)}, {200})
         self.assertEqual(self.hosts[0].got.qsize(), 0)
         await self.wait_until(lambda: len(self.service.watch.calls) == 1)
@@ -189,7 +189,7 @@
         moved.tell(9, self.hosts[0].line("s-0"))  # full: false
         self.assertEqual(await asyncio.wait_for(moved.got.get(), 2), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"), full=True)
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(1))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(1))
 
     async def test_sighup_with_the_same_address_makes_a_pending_retry_at_once(self):
         await self.start_proxy(SocketHost())
@@ -224,9 +224,9 @@
         caller = await self.start_proxy(SocketHost())
         lines = [self.hosts[0].line(f"s-{n}", kind="m" * 20) for n in range(1_100)]
         self.discovery.tell(2, *lines, full=True)
-        await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1_100)
+        await self.wait_until(lambda: len(self.service.dispatcher.policy.ready) == 1_100)
         self.discovery.tell(3, *({**line, "state": "draining"} for line in lines[:1_099]))
-        await self.wait_until(lambda: len(self.service.owner.policy.ready) == 1)
+        await self.wait_until(lambda: len(self.service.dispatcher.policy.ready) == 1)
         self.assertEqual(await caller.outcome(), 200)
 
     async def test_with_a_pushed_list_a_process_is_ready_after_its_first_answer_and_outlives_discovery(self):
@@ -235,7 +235,7 @@
         self.assertIn("wait=0", await self.discovery.got.get())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
         await self.wait_until(lambda: self.service.clients.ready)
-        self.assertFalse(self.service.owner.registry.is_ready(0))
+        self.assertFalse(self.service.dispatcher.registry.is_ready(0))
         await self.discovery.stop()
         await asyncio.sleep(0.6)  # it keeps calling, within half of the grace
         lost = [line for line in self.log.lines if line["event"] == "list lost"]
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -188,7 +188,7 @@
         time.sleep(0.05)
 
     def play(self, story, *hosts, **told):
-        turns, log = TimedSelector(), []
+        selector, log = TimedSelector(), []
 
         async def main():
             started = [await host.start() for host in hosts]
@@ -196,7 +196,7 @@
             said = unittest.mock.Mock(
                 log_event=lambda event, **fields: log.append({"event": event, **fields})
             )
-            service = Service(decode(start_up(started, discovery, **told), {}), said, None, turns)
+            service = Service(decode(start_up(started, discovery, **told), {}), said, None, selector)
             listener = service.begin()
             try:
                 await asyncio.wait_for(story(service, listener.address), 20)
@@ -210,7 +210,7 @@
                 for peer in (*started, discovery):
                     await peer.stop()
 
-        run(main(), turns)
+        run(main(), selector)
         self.assertEqual([line for line in log if line["event"] == "fault"], [])
         return log
 
@@ -225,9 +225,9 @@
             host.writers[0].write(OK)
             time.sleep(0.3)
             self.assertEqual((await caller.answer())[0], 200)
-            (server,) = service.owner.policy.hosts.values()
+            (server,) = service.dispatcher.policy.hosts.values()
             self.assertLess(server.slowdown, 2.0)
-            self.assertLess(service.owner.policy.latency[1].mean, 1_000)
+            self.assertLess(service.dispatcher.policy.latency[1].mean, 1_000)
             await caller.stop()
 
         self.assertEqual([line for line in self.play(story, host) if line["event"] == "hop"], [])
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -31,17 +31,17 @@
     def files(self):
         return {path.name: path.read_text() for path in Path(self.folder).iterdir()}
 
-    def migrate(self, *words):
-        done = CliRunner().invoke(commands.main, ["migrate", self.old, *words])
+    def migrate(self, *args):
+        done = CliRunner().invoke(commands.main, ["migrate", self.old, *args])
         return done.exit_code, done.stdout, done.stderr
 
     def change(self, **settings):
         return {**self.example, "settings": {**self.example["settings"], **settings}}
 
     def test_a_wrong_value_is_reported_with_its_path_and_new_fields_default_to_old_behaviour(self):
-        agreed = startup.decode(self.example, {}).agreed
+        settings = startup.decode(self.example, {}).agreed
         self.assertEqual(
-            (agreed.live_weights, agreed.peer_reports, agreed.list_on_request), (False, False, True)
+            (settings.live_weights, settings.peer_reports, settings.list_on_request), (False, False, True)
         )
         allowed = self.example["settings"]["allowed"]
         wrong_peers = [{**allowed, "peers": peers} for peers in (1, "yes")]
@@ -61,16 +61,16 @@
         first, *others = self.example["settings"]["profiles"]
         rules = {**self.example["settings"]["rules"], "only_draining_binds": True}
 
-        def agreed(**bound):
-            both = [{**first, **bound}, *others]
+        def decode_with(**placement):
+            both = [{**first, **placement}, *others]
             document = self.change(areas=["a", "b"], host_types=["m"], rules=rules, profiles=both)
             return startup.decode(document, {}, "here").agreed
 
-        found = agreed(stays_in=["b"], host_types_open=["m"])
-        self.assertEqual((*found.profiles[0][-2:], found.use_unlisted), ({"b"}, {"m"}, True))
+        settings = decode_with(stays_in=["b"], host_types_open=["m"])
+        self.assertEqual((*settings.profiles[0][-2:], settings.use_unlisted), ({"b"}, {"m"}, True))
         for name, wrong in (("stays_in", "b"), ("stays_in", []), ("stays_in", ["c"]), ("host_types_open", 1)):
             with self.assertRaisesRegex(startup.StartUpError, f"^here: settings[.]profiles.+[.]{name}: "):
-                agreed(**{name: wrong})
+                decode_with(**{name: wrong})
 
     def test_open_decisions_are_reported_and_a_dry_run_prints_the_same_and_writes_nothing(self):
         before = self.files()
@@ -79,13 +79,13 @@
         self.assertEqual(self.migrate("--output", self.new), (1, "", dry))
         for path in ("listen", "settings.balancers", "settings.position"):
             self.assertIn(f"by hand  {path}: ", dry)
-        agreed = startup.read(self.new, {}).agreed
-        self.assertEqual((agreed.live_weights, agreed.list_on_request), (True, False))
+        settings = startup.read(self.new, {}).agreed
+        self.assertEqual((settings.live_weights, settings.list_on_request), (True, False))
         self.assertEqual(self.files()["old.json"], before["old.json"])
 
     def test_an_unusable_file_leaves_all_files_unchanged(self):
         unknown = self.change(load_report={"how": "inline"})
-        for document, words, code, expected in (
+        for document, args, code, expected in (
             ("{", (), 2, "no JSON"),
             ("[]", (), 2, "no start-up file"),
             ({"settings": 1}, (), 2, "settings"),
@@ -96,8 +96,8 @@
         ):
             self.put(document)
             before = self.files()
-            found, _, err = self.migrate(*(words or ("--output", self.new)))
-            self.assertEqual((found, self.files()), (code, before), err)
+            exit_code, _, err = self.migrate(*(args or ("--output", self.new)))
+            self.assertEqual((exit_code, self.files()), (code, before), err)
             self.assertIn(expected, err)
         self.put(unknown)
         self.assertEqual(self.migrate("--output", self.old, "--replace", "--drop-unknown", *DECIDED)[0], 0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -41,7 +41,7 @@
         await dead.server.wait_closed()
         caller = await self.start_proxy(alive)
         self.discovery.tell(2, dead.line("s-dead"))
-        await self.wait_until(lambda: len(self.service.owner.registry.entries) == 2)
+        await self.wait_until(lambda: len(self.service.dispatcher.registry.entries) == 2)
         for n in range(12):
             self.assertEqual(await caller.outcome(profile="submit", key=f"k{n}"), 200)
         self.assertEqual(
@@ -88,7 +88,7 @@
             self.assertEqual(await caller.outcome(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.got.qsize() for host in self.hosts), 20)
         self.assertEqual(
-            {s.excluded_until.get("ban", 0) for s in self.service.owner.policy.hosts.values()}, {0}
+            {s.excluded_until.get("ban", 0) for s in self.service.dispatcher.policy.hosts.values()}, {0}
         )
 
     async def test_a_transaction_that_all_hosts_refuse_is_rolled_back(self):
@@ -128,7 +128,7 @@
         self.set_settle_time(0)
         self.assertEqual(await caller.outcome(), 200)
         self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
-        await self.wait_until(lambda: self.service.owner.registry.is_ready(1))
+        await self.wait_until(lambda: self.service.dispatcher.registry.is_ready(1))
         self.assertEqual(self.service.pool.idle_connections, {})
         self.assertEqual(await caller.outcome(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
@@ -156,7 +156,7 @@
 
         def close_meanwhile(address, up):
             def connected(fault):
-                (transaction,) = self.service.owner.transactions.values()
+                (transaction,) = self.service.dispatcher.transactions.values()
                 transaction.closed = True
                 up(fault)
 
@@ -198,7 +198,7 @@
         self.discovery.tell(
             2, host.line("s-full", addr=f"127.0.0.1:{address[1]}"), host.line("s-0", state="removed")
         )
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(0))
         self.assertEqual(await caller.outcome(profile="submit", timeout="1.5"), 503)
         self.assertEqual(self.log.failed_attempts(), [("connecting", interface.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
@@ -220,9 +220,9 @@
         caller = await self.start_proxy(SocketHost(SILENT))
         caller.ask("submit")
         await self.hosts[0].got.get()
-        (transaction,) = self.service.owner.transactions.values()
+        (transaction,) = self.service.dispatcher.transactions.values()
         transaction.closed = True
-        dispatcher = self.service.owner
+        dispatcher = self.service.dispatcher
         effects = [[interface.SendAttempt(transaction.number, 0, 5_000)], []]
         with unittest.mock.patch.object(dispatcher.policy, "handle", side_effect=effects):
             dispatcher.on_timer(7)
@@ -373,8 +373,8 @@
         self.assertTrue(
             await self.hosts[0].ended.get()
         )  # the attempt is cancelled, which these settings allow
-        await self.wait_until(lambda: not self.service.owner.transactions)
-        self.assertEqual(self.service.owner.policy.txs, {})
+        await self.wait_until(lambda: not self.service.dispatcher.transactions)
+        self.assertEqual(self.service.dispatcher.policy.txs, {})
 
     async def test_bad_input_gets_its_status_and_reaches_no_host(self):
         first = await self.start_proxy(SocketHost())
@@ -410,7 +410,7 @@
     async def test_a_host_that_discovery_lists_as_draining_gets_nothing(self):
         caller = await self.start_proxy(SocketHost(), SocketHost())
         self.discovery.tell(2, self.hosts[0].line("s-0", state="draining"))
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(0))
         for n in range(10):
             self.assertEqual(await caller.outcome(key=f"k{n}"), 200)
         self.assertEqual((self.hosts[0].got.qsize(), self.hosts[1].got.qsize()), (0, 10))
@@ -442,7 +442,9 @@
 
     async def test_an_exception_in_the_policy_costs_one_transaction_not_the_service(self):
         caller = await self.start_proxy(SocketHost())
-        with unittest.mock.patch.object(self.service.owner.policy, "handle", side_effect=KeyError("defect")):
+        with unittest.mock.patch.object(
+            self.service.dispatcher.policy, "handle", side_effect=KeyError("defect")
+        ):
             self.assertEqual(await caller.outcome(timeout="0.02"), 504)
         self.assertIn(
             "RequestReceived", [line["where"] for line in self.log.lines if line["event"] == "fault"]
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -69,7 +69,7 @@
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
             self.assertEqual((failures, [found for _, found in self.log.failed_attempts()]), ([], [outcome]))
-            servers = self.service.owner.policy.hosts.values()
+            servers = self.service.dispatcher.policy.hosts.values()
             self.assertEqual(any(host.excluded_until for host in servers), outcome == "unreachable")
             await self.stop()
 
