--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -17,7 +17,7 @@
     """Forwards the response that `parser` reads from `connection` to a client.
 
     The client has two methods. `write_piece(data)` returns whether the kernel has accepted all of the data;
-    if not, the client calls `resume` once it has. `relay_finished(whole)` is called once, at the end.
+    if not, the client calls `resume` once it has. `forwarding_finished(whole)` is called once, at the end.
     """
 
     __slots__ = ("connection", "parser", "timers", "release", "client", "timer", "ended")
@@ -73,7 +73,7 @@
             self.release(self.connection)
         else:
             self.connection.close()
-        self.client.relay_finished(whole)
+        self.client.forwarding_finished(whole)
 
     def stop(self) -> None:
         """Stop forwarding: the client has gone, or one side has stalled."""
@@ -81,7 +81,7 @@
             self._mark_ended()
             self.connection.close()
             if self.client is not None:
-                self.client.relay_finished(False)
+                self.client.forwarding_finished(False)
 
     def _mark_ended(self) -> None:
         self.ended = True
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -81,23 +81,23 @@
         elif serving and self.process_registry.is_alive(serving):
             self.other_process = serving
         self.merge_overrides()
-        found = record.read(self.process_registry.state_path)
-        if isinstance(found, BadRecord):
-            self.log_error(found.reason)
-        elif found is not None:
-            return self.decode_state(found, fallback)
+        stored = record.read(self.process_registry.state_path)
+        if isinstance(stored, BadRecord):
+            self.log_error(stored.reason)
+        elif stored is not None:
+            return self.decode_state(stored, fallback)
         return fallback, None
 
-    def decode_state(self, found, fallback: HostList) -> tuple[HostList, dict | None]:
+    def decode_state(self, stored, fallback: HostList) -> tuple[HostList, dict | None]:
         """The host list and the policy's state in a record; the fallback if it is old or invalid."""
         try:
-            if self.clock.now() - int(found["known"]["at"]) > MAX_STATE_AGE or not found["list"]["lines"]:
+            if self.clock.now() - int(stored["known"]["at"]) > MAX_STATE_AGE or not stored["list"]["lines"]:
                 return fallback, None
-            lines = tuple(
+            records = tuple(
                 HostRecord(line[0], (str(line[1][0]), int(line[1][1])), *line[2:])
-                for line in found["list"]["lines"]
+                for line in stored["list"]["lines"]
             )
-            return HostList(int(found["list"]["version"]), True, lines), found["known"]
+            return HostList(int(stored["list"]["version"]), True, records), stored["known"]
         except (*INVALID_RECORD_ERRORS, IndexError) as error:
             self.log_error(f"{self.registry.state_path}: {error!r}")
             return fallback, None
@@ -202,19 +202,19 @@
     def merge_overrides(self) -> None:
         """Applies the operator overrides that the other process has recorded."""
         self.overrides_signature = record.file_signature(self.process_registry.overrides_path)
-        found = record.read(self.process_registry.overrides_path)
-        if found is None:
+        stored = record.read(self.process_registry.overrides_path)
+        if stored is None:
             return
         try:
-            overrides = OperatorOverrides.from_dict(found)
+            overrides = OperatorOverrides.from_dict(stored)
         except INVALID_RECORD_ERRORS as error:
-            found = (
-                found
-                if isinstance(found, BadRecord)
+            stored = (
+                stored
+                if isinstance(stored, BadRecord)
                 else BadRecord(f"{self.registry.orders_path}: {error!r}")
             )
-        if isinstance(found, BadRecord):
-            return self.log_error(found.reason)
+        if isinstance(stored, BadRecord):
+            return self.log_error(stored.reason)
         changed = self.host_registry.overrides.merge(overrides)
         if changed:
             self.log_event("orders taken over", hosts=sorted(changed), drained=overrides.drained)
@@ -237,7 +237,7 @@
     def write_state(self) -> None:
         """Queues a record of the host list and the policy's state."""
         ids = {number: entry.id for number, entry in self.host_registry.entries.items()}
-        lines = [
+        records = [
             list(entry.discovered)
             for entry in self.host_registry.entries.values()
             if not entry.discovered.removed
@@ -245,7 +245,7 @@
         self.writer.put(
             self.process_registry.state_path,
             {
-                "list": {"version": self.watch.version, "lines": lines},
+                "list": {"version": self.watch.version, "lines": records},
                 "known": policy_state.export_state(self.dispatcher.policy, ids, self.profiles)
                 | {"at": self.clock.now()},
             },
--- a/basalthook/handover/process_registry.py
+++ b/basalthook/handover/process_registry.py
@@ -69,10 +69,10 @@
 
     def serving_process(self) -> str | BadRecord:
         """The id of the process that is recorded as serving; "" if there is none."""
-        found = record.read(self.serving_path)
-        if isinstance(found, BadRecord):
-            return found
-        process_id = found.get("who") if isinstance(found, dict) else None
+        stored = record.read(self.serving_path)
+        if isinstance(stored, BadRecord):
+            return stored
+        process_id = stored.get("who") if isinstance(stored, dict) else None
         return (
             process_id
             if isinstance(process_id, str) and process_id.isalnum() and len(process_id) == 16
--- a/basalthook/program/fleet_member.py
+++ b/basalthook/program/fleet_member.py
@@ -128,7 +128,7 @@
         if self.limits is not None:
             self.limits.tick(now)
         host_verdicts = (
-            self.verdict_engine.evaluate(now, self.dispatcher.observed_until(now))
+            self.verdict_engine.evaluate(now, self.dispatcher.received_until(now))
             if self.verdict_engine is not None
             else None
         )
--- a/basalthook/recovery/discovery_schedule.py
+++ b/basalthook/recovery/discovery_schedule.py
@@ -184,13 +184,14 @@
 
 
 class PollingPolicy:
-    """The schedule for protocols with one message to ask for the list and one for its failure.
+    """Polls the host list, for protocols with one message that requests it and one that reports a failure.
 
-    It stands in front of the decision policy and forwards all other events to it.
+    Handles these events itself and forwards all others to `event_handler`: the policy, or a component that
+    wraps it.
     """
 
-    def __init__(self, schedule: DiscoverySchedule, policy) -> None:
-        self.schedule, self.policy = schedule, policy
+    def __init__(self, schedule: DiscoverySchedule, event_handler) -> None:
+        self.schedule, self.event_handler = schedule, event_handler
         self.poll_due = False  # whether the poll timer is set; a pushed list is not polled
 
     def begin(self) -> list:
@@ -201,8 +202,8 @@
         self.poll_due = True
         return [interface.SetTimer(wait, POLL_TIMER_MARK)]
 
-    def handle(self, now: int, event, seen: int | None = None) -> list:
-        """Handles an event; returns effects of the schedule or of the policy."""
+    def handle(self, now: int, event, received_until: int | None = None) -> list:
+        """Handles an event; returns the effects of the schedule or of the event handler."""
         kind = type(event)
         if kind is interface.HostListFailed:  # also sent when the watch broke
             return (
@@ -214,4 +215,4 @@
         if kind is interface.HostListReceived and event.from_discovery:
             self.poll_due = False
             self.schedule.on_answer()
-        return self.policy.handle(now, event, seen)
+        return self.event_handler.handle(now, event, received_until)
--- a/basalthook/recovery/policy_state.py
+++ b/basalthook/recovery/policy_state.py
@@ -9,7 +9,7 @@
 from ..policy.measure import SlidingWindow
 
 # Stored name -> attribute.
-PROXY_FIELDS = {  # restored unchanged
+POLICY_FIELDS = {  # restored unchanged
     "quiet_mix": "base_latency",
     "usual_rate": "commit_rate",
     "cores": "load",
@@ -28,24 +28,24 @@
 WINDOW_FIELDS = ("sent", "committed")
 
 
-def export_state(proxy, ids: dict[int, str], profiles: list[str]) -> dict:
+def export_state(policy, ids: dict[int, str], profiles: list[str]) -> dict:
     """The state as JSON values.
 
     `ids`: host ids by number; hosts without one are left out. `profiles`: names by index.
     """
     return {
-        "at": proxy.now,
-        "born": proxy.started,
-        "strain": proxy.slowdown,
-        "sent": list(proxy.sent.times),
-        **{name: getattr(proxy, attribute) for name, attribute in PROXY_FIELDS.items()},
+        "at": policy.now,
+        "born": policy.started,
+        "strain": policy.slowdown,
+        "sent": list(policy.sent.times),
+        **{name: getattr(policy, attribute) for name, attribute in POLICY_FIELDS.items()},
         "latency": {
             name: [getattr(latency, attribute) for attribute in LATENCY_FIELDS.values()]
-            for name, latency in zip(profiles, proxy.latency, strict=True)
+            for name, latency in zip(profiles, policy.latency, strict=True)
         },
         "hosts": {
             ids[number]: export_host(host, profiles)
-            for number, host in proxy.hosts.items()
+            for number, host in policy.hosts.items()
             if number in ids and host.entry.ready
         },
     }
@@ -67,7 +67,7 @@
 
 
 def restore_state(
-    proxy, state: dict, numbers: dict[str, int], profiles: list[str], now: int, half_life: int
+    policy, state: dict, numbers: dict[str, int], profiles: list[str], now: int, half_life: int
 ) -> int:
     """Restores the state in a new policy object that has its first host list.
 
@@ -75,22 +75,22 @@
     AttributeError; a part of it may have been restored by then.
     """
     remaining = 0.5 ** max(0.0, min(64.0, (now - int(state["at"])) / half_life))
-    proxy.started = min(now, int(state["born"]))
-    proxy.slowdown = 1.0 + (float(state["strain"]) - 1.0) * remaining
-    for name, attribute in PROXY_FIELDS.items():
-        setattr(proxy, attribute, max(0.0, float(state[name])))
-    proxy.sent.times.extend(parse_times(state["sent"], now))
-    for name, latency in zip(profiles, proxy.latency, strict=True):
+    policy.started = min(now, int(state["born"]))
+    policy.slowdown = 1.0 + (float(state["strain"]) - 1.0) * remaining
+    for name, attribute in POLICY_FIELDS.items():
+        setattr(policy, attribute, max(0.0, float(state[name])))
+    policy.sent.times.extend(parse_times(state["sent"], now))
+    for name, latency in zip(profiles, policy.latency, strict=True):
         for field, value in zip(LATENCY_FIELDS.values(), state["latency"].get(name, ()), strict=False):
             setattr(latency, field, max(0.0, float(value)))
-    restored = 0
+    restored_hosts = 0
     for host_id, stored in state["hosts"].items():
-        host = proxy.hosts.get(numbers.get(host_id, -1))
+        host = policy.hosts.get(numbers.get(host_id, -1))
         if host is not None and host.entry.started_at == stored["started"]:
             restore_host(host, stored, profiles, now, remaining)
-            restored += 1
-    proxy.handle(now, HostListReceived((), False, False))  # recomputes the ranking from the restored state
-    return restored
+            restored_hosts += 1
+    policy.handle(now, HostListReceived((), False, False))  # recomputes the ranking from the restored state
+    return restored_hosts
 
 
 def restore_host(host, stored: dict, profiles: list[str], now: int, remaining: float) -> None:
@@ -102,11 +102,11 @@
         window.times.extend(parse_times(stored[name], now))
     host.cold_since = None if stored["fresh_from"] is None else int(stored["fresh_from"])
     host.slowdown = 1.0 + (float(stored["strain"]) - 1.0) * remaining
-    away = {
+    excluded_until = {
         **stored["away"],
         **{profiles.index(name): until for name, until in stored["away_for"].items() if name in profiles},
     }
-    host.excluded_until = {reason: int(until) for reason, until in away.items() if until > now}
+    host.excluded_until = {reason: int(until) for reason, until in excluded_until.items() if until > now}
 
 
 def parse_times(values: list, now: int) -> list[int]:
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -14,7 +14,7 @@
 from ..transport.timers import Timers
 from .clock import TICK_NS, TICKS_PER_SECOND, Clock
 from .dispatcher import AttemptResult, Dispatcher, Transaction
-from .host_registry import HostEntry, HostRegistry
+from .host_registry import HostRegistry, RegistryEntry
 from .rate_limited_log import RateLimitedLog
 
 # A response without a stated length is buffered up to this size. A longer one is streamed, so that the
@@ -50,7 +50,7 @@
         transaction: Transaction,
         index: int,
         host: int,
-        entry: HostEntry,
+        entry: RegistryEntry,
         begun_at: int,
         time_limit: int,
     ) -> None:
@@ -90,12 +90,12 @@
             return self.finish(connection)
         self.stage, self.connection = Stage.CONNECTING, connection
 
-    def on_connected(self, fault: ConnectionFailure | None) -> None:
+    def on_connected(self, failure: ConnectionFailure | None) -> None:
         if self.finished:
             return
-        if fault is not None:
-            self.stage = fault.stage
-            return self.finish(fault)
+        if failure is not None:
+            self.stage = failure.stage
+            return self.finish(failure)
         self.send()
 
     def send(self) -> None:
@@ -119,7 +119,7 @@
             max_undelimited_body=MAX_BUFFERED_BYTES,
         )
         time_left = self.time_limit - (runner.clock.now() - self.begun_at)
-        connection.start_reading(self.on_data, self.on_closed)
+        connection.start_reading(self.on_data, self.on_close)
         if not self.finished and connection.write(
             hosts.attempt_request(self.transaction.request.message, max(1, time_left) / TICKS_PER_SECOND),
             self.on_written,
@@ -136,23 +136,23 @@
             self.response_parser.feed(data)
             if self.stage == Stage.WRITTEN:
                 self.stage = Stage.ANSWERING
-            found, head = self.response_parser.result, self.response_parser.streamed_head
-            if isinstance(found, Message) and head is not None:  # a long response that came in a single read
-                found = found._replace(body=bytes(self.response_parser.take_body()))
-            if found is not None:
-                self.finish(found, unread_ns // TICK_NS)
+            result, head = self.response_parser.result, self.response_parser.streamed_head
+            if isinstance(result, Message) and head is not None:  # a long response that came in a single read
+                result = result._replace(body=bytes(self.response_parser.take_body()))
+            if result is not None:
+                self.finish(result, unread_ns // TICK_NS)
             elif head is not None:
                 self.stream_response(head, unread_ns // TICK_NS)
-        except Exception as fault:  # must not stop the event loop; the stage reached still counts
-            self.runner.log_event("fault", where="hop", error=repr(fault))
-            self.finish(ConnectionFailure(self.stage, repr(fault)))
+        except Exception as error:  # must not stop the event loop; the stage reached still counts
+            self.runner.log_event("fault", where="hop", error=repr(error))
+            self.finish(ConnectionFailure(self.stage, repr(error)))
 
-    def on_closed(self, fault: ConnectionFailure) -> None:
+    def on_close(self, failure: ConnectionFailure) -> None:
         # a response that lasts until the connection closes is complete only if the host closed it in order:
         # after a reset it is cut short
-        if fault.reason == PEER_CLOSED:
+        if failure.reason == PEER_CLOSED:
             self.response_parser.feed_eof()
-        self.finish(self.response_parser.result or fault)
+        self.finish(self.response_parser.result or failure)
 
     def stream_response(self, head: Message, unread: int) -> None:
         """A long response has begun: it is final for the transaction, and streams on without this attempt."""
@@ -162,25 +162,25 @@
         runner.timers.cancel(self.timer)
         connection, self.connection, pool_key = self.connection, None, self.entry.pool_key
         unread += connection.connect_notice_delay // TICK_NS if not self.reused else 0
-        relay = ResponseForwarder(
+        forwarder = ResponseForwarder(
             connection, self.response_parser, runner.timers, lambda idle: pool.release(idle, pool_key)
         )
         elapsed = max(0, runner.clock.now() - unread - self.begun_at)
         runner.outcome_counts[interface.COMMITTED] += 1
         runner.dispatcher.post(
             AttemptResult(
-                self.transaction, self.index, self.host, interface.COMMITTED, elapsed, unread, head, relay
+                self.transaction, self.index, self.host, interface.COMMITTED, elapsed, unread, head, forwarder
             )
         )
-        if relay.client is None:  # no client has taken it over
-            relay.stop()
+        if forwarder.client is None:  # no client has taken it over
+            forwarder.stop()
 
     def release_connection(self) -> None:
         """Return the connection to the pool; from here on, stopping this attempt must not close it."""
         connection, self.connection = self.connection, None
         self.runner.pool.release(connection, self.entry.pool_key)
 
-    def finish(self, found: Message | ConnectionFailure | Rejection | None, unread: int = 0) -> None:
+    def finish(self, result: Message | ConnectionFailure | Rejection | None, unread: int = 0) -> None:
         """`unread`: ticks that the response waited here before it was read, which are not the host's."""
         if self.finished:
             return
@@ -190,8 +190,8 @@
         if connection is not None:
             unread += connection.connect_notice_delay // TICK_NS if not self.reused else 0
             if (
-                isinstance(found, Message)
-                and found.keep_alive
+                isinstance(result, Message)
+                and result.keep_alive
                 and not self.response_parser.unparsed
                 and (self.stage == Stage.ANSWERING)
             ):
@@ -199,7 +199,7 @@
             else:
                 connection.close()
                 self.connection = None
-        outcome, message = runner.classify(self, found), found if isinstance(found, Message) else None
+        outcome, message = runner.classify(self, result), result if isinstance(result, Message) else None
         elapsed = max(0, runner.clock.now() - unread - self.begun_at)
         runner.outcome_counts[outcome] += 1
         if outcome == interface.COMMITTED:
@@ -213,7 +213,7 @@
                 ms=elapsed / 10,
             )
         else:
-            reason = (self.refusal or "") if found is None or message else found.reason
+            reason = (self.refusal or "") if result is None or message else result.reason
             runner.log_event(
                 "hop",
                 tx=self.transaction.request.id,
@@ -262,7 +262,7 @@
         transaction: Transaction,
         index: int,
         host: int,
-        entry: HostEntry,
+        entry: RegistryEntry,
         time_limit: int,
         too_late: bool,
     ) -> Attempt:
@@ -280,16 +280,16 @@
         return attempt
 
     @staticmethod
-    def classify(attempt: Attempt, found: Message | ConnectionFailure | Rejection | None) -> str:
-        """The outcome of an attempt that ended with this response or fault; None: it was stopped."""
+    def classify(attempt: Attempt, result: Message | ConnectionFailure | Rejection | None) -> str:
+        """The outcome of an attempt that ended with this response or failure; None: it was stopped."""
         written = attempt.stage >= Stage.WRITTEN
-        if isinstance(found, Message):
-            return hosts.classify_response(found, written)
+        if isinstance(result, Message):
+            return hosts.classify_response(result, written)
         if attempt.stop_outcome is not None and written:
             return attempt.stop_outcome
         if attempt.stop_outcome is not None or attempt.stage == Stage.UNTRIED:
             return interface.UNSENT
-        if isinstance(found, Rejection) and written:
+        if isinstance(result, Rejection) and written:
             # a host that sends malformed responses is up, so this is no lost connection
             return interface.ERROR
         return (
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -61,7 +61,7 @@
         "progress_mark",
         "memory_held",
         "body",
-        "relay",
+        "forwarder",
         "chunked",
     )
 
@@ -70,14 +70,18 @@
         self.parser = Parser(responses=False, field_names=application.PARSED_FIELDS, streaming=True)
         # bytes: of the body when the read timeout was last restarted; of memory reserved for the body
         self.progress_mark = self.memory_held = 0
-        self.body, self.relay, self.chunked = None, None, False  # body: of a long request, as far as received
+        self.body, self.forwarder, self.chunked = (
+            None,
+            None,
+            False,
+        )  # body: of a long request, as far as received
         self.transaction: Transaction | None = None
         self.last_active = clients.clock.now()  # ticks; connected, read from, or answered
         self.keep_alive, self.continue_sent, self.linger_bytes = True, False, 0
         self.timer = self.set_timer(READ_TIMEOUT_S, self.on_timeout)  # also for clients that never send
 
     def start(self) -> None:
-        self.connection.start_reading(self.on_data, self.on_closed)
+        self.connection.start_reading(self.on_data, self.on_close)
 
     def set_timer(self, seconds: float, call) -> list:
         return self.clients.timers.set(int(seconds * TICKS_PER_SECOND), call)
@@ -92,8 +96,8 @@
                 self.discard(len(data))
             else:
                 self.parse(data, unread_ns)
-        except Exception as fault:  # costs this connection only
-            self.on_exception(fault)
+        except Exception as error:  # costs this connection only
+            self.on_exception(error)
 
     def parse(self, data, unread_ns: int) -> None:
         self.parser.feed(data)
@@ -112,18 +116,18 @@
                 and self.state != LINGERING
                 and (self not in self.clients.body_memory.waiting)
             ):
-                self.connection.start_reading(self.on_data, self.on_closed)
-        except Exception as fault:  # costs this connection only
-            self.on_exception(fault)
+                self.connection.start_reading(self.on_data, self.on_close)
+        except Exception as error:  # costs this connection only
+            self.on_exception(error)
 
-    def on_exception(self, fault: Exception) -> None:
-        self.clients.log_event("fault", where="client", error=repr(fault))
-        self.on_closed(None)
+    def on_exception(self, error: Exception) -> None:
+        self.clients.log_event("fault", where="client", error=repr(error))
+        self.on_close(None)
 
     def process_input(self, unread_ns: int) -> None:
         """Act on what the parser has found so far."""
-        found, clients = self.parser.result, self.clients
-        if found is None:
+        parsed, clients = self.parser.result, self.clients
+        if parsed is None:
             received = len(self.parser.body) + len(self.body or b"")
             if self.state != READING or (
                 self.parser.head
@@ -140,20 +144,20 @@
             return
         clients.timers.cancel(self.timer)
         self.timer, self.state, self.keep_alive, self.progress_mark = None, BUSY, True, 0
-        if isinstance(found, Message):
+        if isinstance(parsed, Message):
             if self.body is not None:
-                found, self.body = found._replace(body=self.body), None
-            if found.target == application.HEALTH_PATH:
-                self.keep_alive = found.keep_alive and not clients.drained
+                parsed, self.body = parsed._replace(body=self.body), None
+            if parsed.target == application.HEALTH_PATH:
+                self.keep_alive = parsed.keep_alive and not clients.drained
                 return self.write((clients.health_response(self.keep_alive),))
             else:
-                self.keep_alive = found.keep_alive
+                self.keep_alive = parsed.keep_alive
                 if not clients.admission.admit(clients.clock.now(), -(-unread_ns // TICK_NS)):
                     return self.shed()
-                found = application.parse_transaction(found, clients.profiles)
-        if isinstance(found, Rejection):
-            return self.reject(found)
-        self.submit(found, unread_ns)
+                parsed = application.parse_transaction(parsed, clients.profiles)
+        if isinstance(parsed, Rejection):
+            return self.reject(parsed)
+        self.submit(parsed, unread_ns)
 
     def collect_body(self) -> bool:
         """Collect a long body. Memory is reserved before more is read; returns whether there is enough."""
@@ -189,9 +193,9 @@
             self.state, self.last_active = READING, self.clients.clock.now()
             if self.parser.result is not None:
                 return self.process_input(0)
-            self.connection.start_reading(self.on_data, self.on_closed)
-        except Exception as fault:  # costs this connection only, not the one that has freed the memory
-            self.on_exception(fault)
+            self.connection.start_reading(self.on_data, self.on_close)
+        except Exception as error:  # costs this connection only, not the one that has freed the memory
+            self.on_exception(error)
 
     def on_memory_timeout(self) -> None:
         """Roll back: nothing of the transaction has run."""
@@ -207,12 +211,12 @@
             )
         )
 
-    def reject_body(self, malformed: Rejection) -> None:
+    def reject_body(self, rejection: Rejection) -> None:
         self.clients.timers.cancel(self.timer)
         self.timer, self.state = None, BUSY
         self.release_memory()
         self.connection.pause_reading()
-        self.reject(malformed)
+        self.reject(rejection)
 
     def release_memory(self) -> None:
         """The body is no longer needed."""
@@ -232,9 +236,9 @@
         )
         clients.rate_limited_log(
             "door",
-            share=round(clients.admission.rejected_share(), 3),
+            share=round(clients.admission.shed_share(), 3),
             mean_ms=clients.admission.mean_wait / 10,
-            turned_away=clients.admission.rejected,
+            turned_away=clients.admission.shed_count,
         )
         self.keep_alive = self.keep_alive and clients.allows_keep_alive()
         self.write((application.rollback_response(retry_after / TICKS_PER_SECOND, self.keep_alive),))
@@ -281,11 +285,11 @@
                     come_back_ms=response.retry_after / 10,
                     reason=response.reason,
                 )
-            if response.relay is not None:
+            if response.forwarder is not None:
                 return self.stream_response(response, transaction)
             self.write(clients.encode_response(response, transaction, self.keep_alive))
-        except Exception as fault:  # costs this connection only
-            self.on_exception(fault)
+        except Exception as error:  # costs this connection only
+            self.on_exception(error)
 
     def stream_response(self, response: Response, transaction: Transaction) -> None:
         """Pass on a long response as it arrives from the host."""
@@ -295,21 +299,21 @@
         )
         self.chunked = not has_length and is_http_1_1
         self.keep_alive = self.keep_alive and (has_length or is_http_1_1)
-        self.relay = response.relay
+        self.forwarder = response.forwarder
         head = application.streamed_response_head(response.message, self.keep_alive, self.chunked)
-        self.relay.start(self)
-        if self.connection.write((head,), self.relay.resume):
-            self.relay.resume()
+        self.forwarder.start(self)
+        if self.connection.write((head,), self.forwarder.resume):
+            self.forwarder.resume()
 
     def write_piece(self, data) -> bool:
-        """Write a piece for the relay. Returns whether the kernel took it; if not, the relay waits."""
+        """Write a piece of the body. Returns whether the kernel accepted it; if not, the forwarder waits."""
         return self.connection.write(
-            application.encode_chunk(data) if self.chunked else (data,), self.relay.resume
+            application.encode_chunk(data) if self.chunked else (data,), self.forwarder.resume
         )
 
-    def relay_finished(self, whole: bool) -> None:
+    def forwarding_finished(self, whole: bool) -> None:
         """The long response is complete; or it broke off, and the connection is reset to show that."""
-        self.relay = None
+        self.forwarder = None
         if self.connection.closed:
             return self.clients.close_client(self)
         if not whole:
@@ -329,7 +333,7 @@
             self.timer = self.set_timer(WRITE_TIMEOUT_S, self.on_write_timeout)
 
     def on_write_timeout(self) -> None:
-        self.on_closed(None)  # the client does not read, so it can't be told why
+        self.on_close(None)  # the client does not read, so it can't be told why
 
     def on_written(self) -> None:
         self.clients.timers.cancel(self.timer)
@@ -348,12 +352,12 @@
         if self.state == PIPELINED or self.connection.paused:
             self.clients.timers.set(0, self.read_next)  # not called here: many pipelined requests would nest
 
-    def reject(self, malformed: Rejection) -> None:
+    def reject(self, rejection: Rejection) -> None:
         """Reject bad input, and give the client time to read the reason before the connection closes."""
-        self.clients.rate_limited_log("bad input", status=malformed.status, reason=malformed.reason)
+        self.clients.rate_limited_log("bad input", status=rejection.status, reason=rejection.reason)
         self.keep_alive = False
         if self.connection.write(
-            (application.text_response(malformed.status, malformed.reason, False),), self.linger
+            (application.text_response(rejection.status, rejection.reason, False),), self.linger
         ):
             self.linger()
         elif not self.connection.closed:
@@ -365,7 +369,7 @@
         self.timer = self.set_timer(LINGER_S, self.on_write_timeout)
         self.connection.shutdown_write()
         if self.connection.paused:
-            self.connection.start_reading(self.on_data, self.on_closed)
+            self.connection.start_reading(self.on_data, self.on_close)
 
     def discard(self, count: int) -> None:
         self.linger_bytes -= count
@@ -380,13 +384,13 @@
             self.connection.write((application.text_response(408, "stopped half-way", False),))
         self.clients.close_client(self)
 
-    def on_closed(self, _: ConnectionFailure | None) -> None:
-        transaction, relay = self.transaction, self.relay
+    def on_close(self, _: ConnectionFailure | None) -> None:
+        transaction, forwarder = self.transaction, self.forwarder
         if transaction is not None:
             self.finish_transaction()
-        if relay is not None:
+        if forwarder is not None:
             self.connection.close()
-            relay.stop()
+            forwarder.stop()
         self.clients.close_client(self)
         if transaction is not None:
             self.clients.response_counts["client gone"] += 1
@@ -401,12 +405,12 @@
     def check_gone(self) -> bool:
         """Whether the client has gone. While reading is paused, unread bytes hide the connection's end."""
         if self.connection.peer_closed():
-            self.on_closed(None)
+            self.on_close(None)
             return True
         return False
 
     def close(self) -> None:
-        self.on_closed(None)
+        self.on_close(None)
 
 
 class Clients:
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -23,7 +23,7 @@
     kind: str  # "committed", "declined", "rolled back", "abandoned"
     message: Message | None = None
     retry_after: int = 0  # ticks; 0: no advice
-    relay: object = None  # streams the rest of a long response from the host
+    forwarder: object = None  # streams the rest of a long response from the host
     reason: str = ""  # why it does not come from a host
 
 
@@ -89,7 +89,7 @@
     elapsed: int  # ticks, without `unread`
     unread: int  # ticks that the host's response waited here before it was read
     message: Message | None
-    relay: object = None
+    forwarder: object = None
 
 
 class DiscoveryUpdate(NamedTuple):
@@ -145,9 +145,9 @@
         self.transactions: dict[int, Transaction] = {}
         self.begin_attempt = None  # AttemptRunner.begin, set when the program is assembled
 
-    def start(self, known: HostList) -> None:
+    def start(self, known_hosts: HostList) -> None:
         """Pass on the list that is known at start-up."""
-        self.handle_event(self.registry.apply_listing(known, answered=False))
+        self.handle_event(self.registry.apply_listing(known_hosts, answered=False))
 
     def post(self, item) -> None:
         """Queue an item, and handle the queue unless that is under way."""
@@ -174,14 +174,14 @@
         """An exception in one item must not stop the service for all other transactions."""
         try:
             work(item)
-        except Exception as fault:
-            self.log_event("fault", where=type(item).__name__, error=repr(fault))
+        except Exception as error:
+            self.log_event("fault", where=type(item).__name__, error=repr(error))
 
     def handle_event(self, event) -> None:
         now = self.clock.now()
-        self.apply_effects(self.event_handler.handle(now, event, self.observed_until(now)))
+        self.apply_effects(self.event_handler.handle(now, event, self.received_until(now)))
 
-    def observed_until(self, now: int) -> int:
+    def received_until(self, now: int) -> int:
         """All input that arrived until then has been handled; silence since may be our own delay."""
         return now - self.read_lag_ns() // TICK_NS
 
@@ -225,7 +225,7 @@
         transaction.attempts[item.attempt] = None
         self.registry.attempt_finished(item.host)
         if item.message is not None and not transaction.closed:
-            transaction.close(Response(item.outcome, item.message, 0, item.relay))
+            transaction.close(Response(item.outcome, item.message, 0, item.forwarder))
         self.handle_event(
             interface.AttemptEnded(
                 transaction.number,
--- a/basalthook/routing/host_registry.py
+++ b/basalthook/routing/host_registry.py
@@ -9,7 +9,7 @@
 from .start_times import StartTimes
 
 
-class HostEntry(NamedTuple):
+class RegistryEntry(NamedTuple):
     """What this proxy knows of a host."""
 
     id: str
@@ -30,14 +30,14 @@
 class HostRegistry:
     """Assigns each host a number, keeps its address and state, and applies operator overrides to lists."""
 
-    def __init__(self, only_draining_binds: bool = False, start_times: StartTimes | None = None) -> None:
-        """`only_draining_binds`: a host that is gone without having drained stays until `drop_unheld`.
+    def __init__(self, use_unlisted: bool = False, start_times: StartTimes | None = None) -> None:
+        """`use_unlisted`: a ready host that a list removes or leaves out stays until `drop_unheld`.
 
         `start_times` corrects the reported start times of hosts; None: they are taken as reported.
         """
         self.start_times = start_times
-        self.only_draining_binds = only_draining_binds
-        self.entries: dict[int, HostEntry] = {}  # a host that is gone is removed when no attempt is open
+        self.use_unlisted = use_unlisted
+        self.entries: dict[int, RegistryEntry] = {}  # a host that is gone is removed when no attempt is open
         self.numbers_by_id: dict[str, int] = {}
         self.open_attempts: dict[int, int] = {}  # host number -> number of open attempts, if any
         self.next_number = 0
@@ -49,19 +49,19 @@
         """Update the registry from a list, and convert the list to the policy's event."""
         self.changes = {}
         event = interface.HostListReceived(
-            tuple(self._update_entry(line) for line in listing.records), listing.complete, answered
+            tuple(self._update_entry(record) for record in listing.records), listing.complete, answered
         )
-        named = {line.host_id for line in event.hosts}
-        removed = {self.numbers_by_id[line.id] for line in listing.records if line.removed}
+        named = {entry.host_id for entry in event.hosts}
+        removed = {self.numbers_by_id[record.id] for record in listing.records if record.removed}
         if listing.complete:
             removed |= self.entries.keys() - named
-        self._drop(n for n in removed if not (self.only_draining_binds and self.entries[n].ready))
+        self._drop(n for n in removed if not (self.use_unlisted and self.entries[n].ready))
         if answered and self.start_times is not None:
             self.start_times.list_received()
         return event
 
     def reapply_overrides(self, hosts: set[str]) -> interface.HostListReceived:
-        """The list lines of these hosts as the operator overrides now make them."""
+        """The list entries of these hosts with the present operator overrides applied."""
         numbers = [self.numbers_by_id[host] for host in sorted(hosts) if host in self.numbers_by_id]
         event = interface.HostListReceived(
             tuple(self._update_entry(self.entries[n].discovered) for n in numbers), False, False
@@ -86,7 +86,7 @@
             self.on_host_left(self.entries[number].pool_key)
             self._forget(number)
 
-    def attempt_started(self, number: int) -> HostEntry:
+    def attempt_started(self, number: int) -> RegistryEntry:
         """Count an open attempt, which keeps the entry until `attempt_finished`."""
         self.open_attempts[number] = self.open_attempts.get(number, 0) + 1
         return self.entries[number]
@@ -102,42 +102,44 @@
         return number in self.entries and self.entries[number].ready
 
     def _update_entry(self, discovered: HostRecord) -> interface.HostEntry:
-        """Update the entry of a host from its list line, and return the line in the policy's form."""
-        line = self.overrides.apply_to(discovered)
-        number = self.numbers_by_id.get(line.id)
+        """Update the entry of a host from its record, and return the record as the policy's list entry."""
+        record = self.overrides.apply_to(discovered)
+        number = self.numbers_by_id.get(record.id)
         if number is None:
-            number = self.numbers_by_id[line.id] = self.next_number
+            number = self.numbers_by_id[record.id] = self.next_number
             self.next_number += 1
-        known = self.entries.get(number)
+        previous = self.entries.get(number)
         id_hash = (
-            known.id_hash if known else terms.stable_number(line.id)
+            previous.id_hash if previous else terms.stable_number(record.id)
         )  # hashed once: lists may come often
-        ready = line.ready or line.removed and self.only_draining_binds and bool(known and known.ready)
-        self._note_change(known, line, ready)
-        self.entries[number] = HostEntry(line.id, line.address, ready, id_hash, discovered)
+        ready = record.ready or record.removed and self.use_unlisted and bool(previous and previous.ready)
+        self._note_change(previous, record, ready)
+        self.entries[number] = RegistryEntry(record.id, record.address, ready, id_hash, discovered)
         started_ns = (
-            self.start_times.start_time(line.id, line.started_ns) if self.start_times else line.started_ns
+            self.start_times.start_time(record.id, record.started_ns)
+            if self.start_times
+            else record.started_ns
         )
         return terms.host_entry(
             number,
             id_hash,
-            line.zone,
-            line.cell,
-            line.ready,
-            line.weight,
+            record.zone,
+            record.cell,
+            record.ready,
+            record.weight,
             started_ns,
-            line.kind,
-            line.draining,
+            record.kind,
+            record.draining,
         )
 
-    def _note_change(self, known: HostEntry | None, line: HostRecord, ready: bool) -> None:
-        """Record for the log what a list line changes."""
-        if known is None or known.ready != ready:
-            self._add_change("ready" if ready else "draining" if line.draining else "gone", line.id)
-        elif known.address != line.address:
-            self._add_change("moved", line.id)
-        elif known.discovered.started_ns != line.started_ns:
-            self._add_change("restarted", line.id)
+    def _note_change(self, previous: RegistryEntry | None, record: HostRecord, ready: bool) -> None:
+        """Note for the log what a record changes."""
+        if previous is None or previous.ready != ready:
+            self._add_change("ready" if ready else "draining" if record.draining else "gone", record.id)
+        elif previous.address != record.address:
+            self._add_change("moved", record.id)
+        elif previous.discovered.started_ns != record.started_ns:
+            self._add_change("restarted", record.id)
 
     def _add_change(self, change: str, host_id: str) -> None:
         self.changes.setdefault(change, []).append(host_id)
--- a/basalthook/routing/operator_calls.py
+++ b/basalthook/routing/operator_calls.py
@@ -28,8 +28,8 @@
         )  # stores them on disk; returns an error text, "" on success
         self.fleet = None  # source of fleet state, if this process is a member of a fleet
 
-    def handle(self, call: AdminRequest) -> AdminResponse:
-        return self.HANDLERS[call.action](self, call)
+    def handle(self, request: AdminRequest) -> AdminResponse:
+        return self.HANDLERS[request.action](self, request)
 
     def ready(self, _: AdminRequest) -> AdminResponse:
         if not self.clients.ready:
@@ -40,7 +40,7 @@
 
     def hosts(self, _: AdminRequest) -> AdminResponse:
         policy_hosts, overrides = self.dispatcher.policy.hosts, self.registry.overrides
-        lines = [
+        rows = [
             {
                 "id": entry.id,
                 "address": ":".join(map(str, entry.address)),
@@ -55,7 +55,7 @@
             for host, (_, disabled) in overrides.by_host.items()
             if disabled and not self.registry.is_known(host)
         ]
-        return admin_api.json_lines(sorted(lines + unlisted, key=lambda line: line["id"]))
+        return admin_api.json_lines(sorted(rows + unlisted, key=lambda row: row["id"]))
 
     def members(self, _: AdminRequest) -> AdminResponse:
         return admin_api.json_lines(self.fleet.members()) if self.fleet is not None else NOT_A_MEMBER
@@ -66,17 +66,17 @@
     def limits(self, _: AdminRequest) -> AdminResponse:
         return admin_api.json_lines(self.fleet.shares()) if self.fleet is not None else NOT_A_MEMBER
 
-    def host(self, call: AdminRequest) -> AdminResponse:
-        overrides, disabled = self.registry.overrides, call.action == admin_api.DISABLE
-        if not self.registry.is_known(call.host) and not overrides.is_disabled(call.host):
+    def host(self, request: AdminRequest) -> AdminResponse:
+        overrides, disabled = self.registry.overrides, request.action == admin_api.DISABLE
+        if not self.registry.is_known(request.host) and not overrides.is_disabled(request.host):
             return AdminResponse(404, "no such host")
-        if not overrides.set_disabled(call.host, self.clock.now() * TICK_NS, disabled):
+        if not overrides.set_disabled(request.host, self.clock.now() * TICK_NS, disabled):
             return AdminResponse(200, "it is out already" if disabled else "it was not out")
-        self.dispatcher.post(OverridesChanged({call.host}))
+        self.dispatcher.post(OverridesChanged({request.host}))
         return self.reply_after_saving("out" if disabled else "back, and cold")
 
-    def drain(self, call: AdminRequest) -> AdminResponse:
-        drained = call.action == admin_api.DRAIN
+    def drain(self, request: AdminRequest) -> AdminResponse:
+        drained = request.action == admin_api.DRAIN
         if not self.registry.overrides.set_drained(self.clock.now() * TICK_NS, drained):
             return AdminResponse(200, "drained already" if drained else "not drained")
         self.clients.set_drained(drained)
--- a/basalthook/routing/overrides.py
+++ b/basalthook/routing/overrides.py
@@ -54,14 +54,14 @@
         self.drain = max(self.drain, other.drain)
         return set(later)
 
-    def apply_to(self, line: HostRecord) -> HostRecord:
-        """The list line as overridden: a disabled host is draining, a re-enabled one is cold from then on."""
-        if line.removed or line.id not in self.by_host:
-            return line
-        since, disabled = self.by_host[line.id]
+    def apply_to(self, record: HostRecord) -> HostRecord:
+        """The record as overridden: a disabled host is draining, a re-enabled one is cold from then on."""
+        if record.removed or record.id not in self.by_host:
+            return record
+        since, disabled = self.by_host[record.id]
         if disabled:
-            return line._replace(ready=False, draining=True)
-        return line._replace(started_ns=max(line.started_ns, since))
+            return record._replace(ready=False, draining=True)
+        return record._replace(started_ns=max(record.started_ns, since))
 
     def to_dict(self) -> dict:
         """The form that is stored on disk."""
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -112,14 +112,14 @@
             at_once = False
         self.calls.remove(task)
         self.failure_reasons.append(reason)
-        rejected = all(r.startswith("status") for r in self.failure_reasons)
+        overloaded = all(r.startswith("status") for r in self.failure_reasons)
         if self.calls:  # one of the other calls may still be answered
             delay = self.schedule.hedge_delay_after_failure(
-                len(self.calls), len(self.failure_reasons), rejected
+                len(self.calls), len(self.failure_reasons), overloaded
             )
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log_event("list call failed", reason=reason, others=len(self.calls))
-        wait = self.schedule.retry_delay(rejected)
+        wait = self.schedule.retry_delay(overloaded)
         self.log_event(
             "list lost",
             reason="; ".join(dict.fromkeys(self.failure_reasons)),
@@ -143,8 +143,8 @@
             return connection.reason
         try:
             return await self.follow(connection, task, at_once)
-        except Exception as fault:  # costs this connection only, not the watch
-            return repr(fault)
+        except Exception as error:  # costs this connection only, not the watch
+            return repr(error)
         finally:
             connection.close()
 
@@ -154,31 +154,31 @@
         Returns the reason, or "" if discovery has closed the connection after an answer.
         """
         connected = asyncio.get_running_loop().create_future()
-        silent_after = self.schedule.hedge_delay(len(self.calls), at_once)
+        hedge_delay = self.schedule.hedge_delay(len(self.calls), at_once)
         connection.connect(self.address, connected.set_result)
-        with self.time_limits(connection, 0, silent_after, task):
-            fault = await connected
-        if fault is not None:
-            return fault.reason
+        with self.time_limits(connection, 0, hedge_delay, task):
+            failure = await connected
+        if failure is not None:
+            return failure.reason
         while True:
             full_list = self.needs_full_list
             wait = 0 if at_once or full_list else self.schedule.watch_wait()
-            with self.time_limits(connection, wait, silent_after, task):
-                found = await self.call(connection, wait)
-            if isinstance(found, ConnectionFailure):
-                return found.reason
-            listing = catalogue.decode_host_list(found.body) if found.status == 200 else None
+            with self.time_limits(connection, wait, hedge_delay, task):
+                response = await self.call(connection, wait)
+            if isinstance(response, ConnectionFailure):
+                return response.reason
+            listing = catalogue.decode_host_list(response.body) if response.status == 200 else None
             if listing is None:
                 return (
-                    f"status {found.status}, no valid list"
-                    if found.status == 200
-                    else (f"status {found.status}")
+                    f"status {response.status}, no valid list"
+                    if response.status == 200
+                    else (f"status {response.status}")
                 )
             if full_list and not listing.complete:
                 return "changes instead of the complete list"
             await self.take_answer(listing, task, at_once)
-            at_once, silent_after = False, self.schedule.hedge_delay(1)
-            if not found.keep_alive:
+            at_once, hedge_delay = False, self.schedule.hedge_delay(1)
+            if not response.keep_alive:
                 return ""
 
     async def take_answer(self, listing: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
@@ -238,31 +238,31 @@
             if parser.result is not None and not done.done():
                 done.set_result(None)
 
-        def on_closed(fault: ConnectionFailure) -> None:
+        def on_close(failure: ConnectionFailure) -> None:
             parser.feed_eof()
             if not done.done():
-                done.set_result(None if parser.result is not None else fault)
+                done.set_result(None if parser.result is not None else failure)
 
-        connection.start_reading(on_data, on_closed)
+        connection.start_reading(on_data, on_close)
         if not done.done():
             connection.write((request,))
-        fault = await done
-        if fault is not None:
-            return fault
+        failure = await done
+        if failure is not None:
+            return failure
         if not isinstance(parser.result, Message) or not parser.result.delimited:
             return ConnectionFailure(Stage.ANSWERING, "no valid HTTP response")
         return parser.result
 
     @contextmanager
-    def time_limits(self, connection: Connection, wait: int, silent_after: int, task: asyncio.Task):
+    def time_limits(self, connection: Connection, wait: int, hedge_delay: int, task: asyncio.Task):
         """Time limits for what is awaited inside.
 
-        A parallel call opens `silent_after` ticks after `wait` is over, and the connection fails
+        A parallel call opens `hedge_delay` ticks after `wait` is over, and the connection fails
         `CALL_TIMEOUT` ticks after it is over.
         """
         reason = f"no answer within {(wait + CALL_TIMEOUT) / self.timers.ticks_per_second:g} s"
         limits = (
-            self.timers.set(wait + silent_after, self.add_call, task),
+            self.timers.set(wait + hedge_delay, self.add_call, task),
             self.timers.set(wait + CALL_TIMEOUT, connection.fail, reason),
         )
         try:
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -24,9 +24,9 @@
     """One proxy instance: its policy state, and the small integers that stand for ids on the wire."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
-        self.proxy = Proxy(terms.policy_settings(setup), seed, now)
-        self.decider = PollingPolicy(
-            DiscoverySchedule(self.proxy.settings, self.proxy.rng), FaultAggregator(self.proxy)
+        self.policy = Proxy(terms.policy_settings(setup), seed, now)
+        self.event_handler = PollingPolicy(
+            DiscoverySchedule(self.policy.settings, self.policy.rng), FaultAggregator(self.policy)
         )
         self.profiles = terms.profile_indices(setup)
         # address -> index; grows with every host ever listed, until a restart
@@ -191,7 +191,7 @@
                     self.lists[fields.get("slot", 0)] = fields["records"]
                 elif name == "SPAWN":
                     instance = self.instances[who] = Instance(fields["nonce64"], fields["setup"], now)
-                    decisions += map(instance.encode_decision, instance.decider.begin())
+                    decisions += map(instance.encode_decision, instance.event_handler.begin())
                 elif name == "KILL":
                     self.instances.pop(who, None)
                     decisions.clear()  # decisions made earlier in this batch are lost with the instance
@@ -199,7 +199,9 @@
                     instance = self.instances[who]
                     decoded = instance.decode_event(name, fields, self.lists)
                     if decoded is not None:
-                        decisions += map(instance.encode_decision, instance.decider.handle(now, decoded))
+                        decisions += map(
+                            instance.encode_decision, instance.event_handler.handle(now, decoded)
+                        )
             if decisions:
                 parts.append({"who": who, "decisions": decisions})
         return {"parts": parts}
--- a/basalthook/transport/hostpool.py
+++ b/basalthook/transport/hostpool.py
@@ -18,7 +18,7 @@
 
 
 class HostPool:
-    """Opens connections to hosts and keeps the idle ones, by host, for reuse."""
+    """Opens connections to hosts and keeps the idle ones for reuse, by the pool key of their host."""
 
     def __init__(
         self, buffers: BufferPool, descriptors: DescriptorBudget, timers: Timers, idle: float, connect: float
@@ -26,7 +26,7 @@
         """`idle` and `connect`: as for `set_timeouts`, in seconds."""
         self.buffers, self.descriptors, self.timers = buffers, descriptors, timers
         self.idle_timeout = self.connect_timeout = 0.0
-        # oldest first -> host, usable until
+        # oldest first -> pool key, usable until
         self.idle_connections: OrderedDict[Connection, tuple] = OrderedDict()
         self.by_host: dict[tuple, list[Connection]] = {}  # removed when used, closed or expired
         self.sweep_timer = None
@@ -39,10 +39,10 @@
             pass  # hosts now close idle connections earlier than those were pooled for
         self.idle_timeout, self.connect_timeout = idle * IDLE_TIMEOUT_FRACTION, connect
 
-    def take_idle(self, host: tuple) -> Connection | None:
+    def take_idle(self, pool_key: tuple) -> Connection | None:
         """Return the most recently used idle connection to the host that is safe to reuse, or None."""
         now = time.monotonic()
-        for connection in reversed(self.by_host.get(host, ())):
+        for connection in reversed(self.by_host.get(pool_key, ())):
             _, usable_until = self.idle_connections[connection]
             if usable_until - self.idle_timeout > now - REUSE_DELAY_S:
                 continue  # stray bytes after its last response would be taken for the next one
@@ -75,21 +75,21 @@
         connection.connect(address, connected)
         return connection
 
-    def release(self, connection: Connection, host: tuple) -> None:
+    def release(self, connection: Connection, pool_key: tuple) -> None:
         """Keep a connection that is no longer in use, until it is reused, closed or expired."""
         if connection.closed or not self.idle_timeout:
             return connection.close()
-        self.idle_connections[connection] = host, time.monotonic() + self.idle_timeout
-        self.by_host.setdefault(host, []).append(connection)
+        self.idle_connections[connection] = pool_key, time.monotonic() + self.idle_timeout
+        self.by_host.setdefault(pool_key, []).append(connection)
         connection.start_reading(lambda *_: self._discard(connection), lambda _: self._discard(connection))
         if self.sweep_timer is None:
             self.sweep_timer = self.timers.set(
                 int(self.idle_timeout * self.timers.ticks_per_second), self._sweep
             )
 
-    def close_idle(self, host: tuple) -> None:
+    def close_idle(self, pool_key: tuple) -> None:
         """Close all idle connections to a host."""
-        for connection in list(self.by_host.get(host, ())):
+        for connection in list(self.by_host.get(pool_key, ())):
             self._remove(connection)
             connection.close()
 
@@ -108,11 +108,11 @@
         self.timers.cancel(self.sweep_timer)
 
     def _remove(self, connection: Connection) -> None:
-        host, _ = self.idle_connections.pop(connection)
-        connections = self.by_host[host]
+        pool_key, _ = self.idle_connections.pop(connection)
+        connections = self.by_host[pool_key]
         connections.remove(connection)
         if not connections:
-            del self.by_host[host]
+            del self.by_host[pool_key]
 
     def _discard(self, connection: Connection) -> None:
         """Close an idle connection that the peer has closed or sent unexpected bytes on."""
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -137,7 +137,7 @@
         await first.stop()
         await self.wait_until(lambda: not self.service.clients.body_memory.in_use)
 
-    async def test_memory_of_a_body_that_admission_control_rejects_is_released(self):
+    async def test_memory_of_a_body_that_admission_control_sheds_is_released(self):
         caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -38,7 +38,7 @@
                 return fresh(address, up)
             connecting.set()
             return fresh(
-                address, lambda fault: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, up, fault)
+                address, lambda failure: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, up, failure)
             )
 
         self.service.pool.open_connection = connect_late
@@ -104,7 +104,7 @@
         dispatcher, (client,) = self.service.dispatcher, self.service.clients.open_clients
         (transaction,) = dispatcher.transactions.values()
         dispatcher.processing = True  # as while an item is handled: new ones are queued
-        client.on_closed(None)
+        client.on_close(None)
         transaction.close(Response("abandoned"))
         dispatcher.process_queue()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -13,7 +13,7 @@
 from basalthook.policy import interface
 from basalthook.program.service import Service
 from basalthook.program.startup import decode
-from basalthook.recovery.admission import REJECTION_FULL, REJECTION_START, AdmissionControl
+from basalthook.recovery.admission import SHED_FULL, SHED_START, AdmissionControl
 from basalthook.transport import timestamps
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
@@ -27,13 +27,13 @@
 
 
 class Admission(unittest.TestCase):
-    def test_short_stalls_and_short_waits_reject_nothing(self):
+    def test_short_stalls_and_short_waits_shed_nothing(self):
         control = AdmissionControl(GOAL, Random(1))
         waits = [20] * 400 + [400] * 10 + [20] * 400  # with a stall of 40 ms
         self.assertTrue(all(control.admit(n, wait) for n, wait in enumerate(waits)))
 
     def test_at_twice_the_capacity_what_is_accepted_is_served_in_time(self):
-        """One worker, arrivals at twice its rate; a rejection costs a tenth of a transaction."""
+        """One worker, arrivals at twice its rate; shedding costs a tenth of a transaction."""
         control, chance, free, waits, taken = AdmissionControl(GOAL, Random(1)), Random(2), 0.0, [], 0
         now = 0.0
         for n in range(40_000):
@@ -47,24 +47,24 @@
         self.assertLess(sorted(waits)[len(waits) * 99 // 100], GOAL)
         self.assertGreater(taken / 20_000, 0.4)  # of the 45 % that the worker could serve
 
-    def test_arrivals_beyond_the_goal_are_rejected_and_idle_time_ends_rejection(self):
+    def test_arrivals_beyond_the_goal_are_shed_and_idle_time_ends_shedding(self):
         control = AdmissionControl(GOAL, Random(1))
         self.assertFalse(control.admit(0, GOAL))
         for n in range(1_000):
             control.admit(n, GOAL - 1)
-        self.assertEqual(control.rejected_share(), 1.0)
+        self.assertEqual(control.shed_share(), 1.0)
         self.assertTrue(control.admit(60_000, 0))  # 5.9 s later
-        self.assertLess(control.rejected_share(), 0.01)
+        self.assertLess(control.shed_share(), 0.01)
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.integers(0, 100_000)), max_size=200))
-    def test_rejected_shares_and_retry_times_stay_in_their_bounds(self, arrivals):
+    def test_shed_shares_and_retry_times_stay_in_their_bounds(self, arrivals):
         control, now = AdmissionControl(GOAL, Random(1)), 0
         for gap, waited in arrivals:
             now += gap
             control.admit(now, waited)
-            self.assertTrue(0 <= control.mean_wait <= GOAL and 0 <= control.rejected_share() <= 1)
+            self.assertTrue(0 <= control.mean_wait <= GOAL and 0 <= control.shed_share() <= 1)
             self.assertTrue(GOAL / 2 <= control.retry_after() <= 6 * GOAL)
-        self.assertLess(REJECTION_START, REJECTION_FULL)
+        self.assertLess(SHED_START, SHED_FULL)
 
 
 class SilentHosts(unittest.TestCase):
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -77,14 +77,14 @@
         }
         self.assertEqual(self.process(verdict), [])
         instance = self.processor.instances["proxy_0"]
-        self.assertEqual((instance.transactions, instance.tx_numbers, instance.proxy.txs), ({}, {}, {}))
+        self.assertEqual((instance.transactions, instance.tx_numbers, instance.policy.txs), ({}, {}, {}))
 
     def test_kill_drops_the_instance_and_its_decisions_of_the_batch(self):
         self.assertEqual(self.process(self.query(), {"KILL": {}}), [])
         self.assertEqual(self.processor.instances, {})
 
     def test_durations_of_the_settings_are_rounded_to_the_safe_side(self):
-        terms = self.processor.instances["proxy_0"].proxy.settings
+        terms = self.processor.instances["proxy_0"].policy.settings
         self.assertEqual((terms.profiles[0].service_goal, terms.slow_start_time), (2_000, 83_001))
 
     def test_messages_about_unknown_hosts_or_malformed_ones_are_ignored(self):
@@ -98,7 +98,7 @@
         ]
         self.process({"DIRECTORY": {"slot": 1, "records": records}}, {"VIEW": {"scope": "update", "slot": 1}})
         self.assertGreater(
-            min(s.capacity for s in self.processor.instances["proxy_0"].proxy.hosts.values()), 0
+            min(s.capacity for s in self.processor.instances["proxy_0"].policy.hosts.values()), 0
         )
         self.assertIn("FORWARD", self.process(self.query())[0])
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -155,10 +155,10 @@
         fresh = self.service.pool.open_connection
 
         def close_meanwhile(address, up):
-            def connected(fault):
+            def connected(failure):
                 (transaction,) = self.service.dispatcher.transactions.values()
                 transaction.closed = True
-                up(fault)
+                up(failure)
 
             return fresh(address, connected)
 
@@ -466,7 +466,7 @@
     async def test_where_only_draining_binds_an_unlisted_host_stays_until_dropped_and_a_drained_one_does_not(
         self,
     ):
-        registry, host = HostRegistry(only_draining_binds=True), await self.start_server(SocketHost())
+        registry, host = HostRegistry(use_unlisted=True), await self.start_server(SocketHost())
         first = decode(start_up([host], host), {}).known_hosts
         number = registry.apply_listing(first, False).hosts[0].host_id
         gone = first.records[0]._replace(ready=False)
