--- a/basalthook/console/admin_server.py
+++ b/basalthook/console/admin_server.py
@@ -34,16 +34,16 @@
         try:
             self.parser.feed(data)
             if self.parser.result is not None:
-                self.respond(self.server.reply(self.parser.result))
+                self.respond(self.server.handle_message(self.parser.result))
             elif self.parser.expects_continue:
                 self.respond(admin_api.AdminResponse(417, "no body is wanted"))
         except Exception as error:  # an exception must not affect other connections
             self.server.log_event("fault", where="console", error=repr(error))
             self.drop()
 
-    def respond(self, reply: admin_api.AdminResponse) -> None:
+    def respond(self, response: admin_api.AdminResponse) -> None:
         self.responded = True
-        if self.connection.write((admin_api.encode_response(reply),), self._response_written):
+        if self.connection.write((admin_api.encode_response(response),), self._response_written):
             self._response_written()
 
     def _response_written(self) -> None:
@@ -93,17 +93,21 @@
         connection.start_reading(admin_connection.on_data, admin_connection.on_close)
         return True
 
-    def reply(self, message) -> admin_api.AdminResponse:
+    def handle_message(self, message) -> admin_api.AdminResponse:
         """Handle a parsed message; requests that are not read-only, and bad ones, are logged."""
         if isinstance(message, Rejection):
             return admin_api.rejection_response(message)
         request = admin_api.parse_request(message)
-        reply = self.handle(request) if isinstance(request, admin_api.AdminRequest) else request
+        response = self.handle(request) if isinstance(request, admin_api.AdminRequest) else request
         if not isinstance(request, admin_api.AdminRequest) or request.action not in admin_api.READ_ONLY:
             self.log_event(
-                "call", method=message.method, path=message.target[:200], status=reply.status, text=reply.text
+                "call",
+                method=message.method,
+                path=message.target[:200],
+                status=response.status,
+                text=response.text,
             )
-        return reply
+        return response
 
     def close(self) -> None:
         for admin_connection in list(self.connections):
--- a/basalthook/program/fleet_commands.py
+++ b/basalthook/program/fleet_commands.py
@@ -26,14 +26,14 @@
         host_name, port = catalogue.parse_address(address)
         connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
         connection.request(method, path)
-        answer = connection.getresponse()
-        text = answer.read().decode()
+        response = connection.getresponse()
+        text = response.read().decode()
         connection.close()
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     except (OSError, http.client.HTTPException) as error:
         fail(f"no answer from {address}: {error}")
-    if answer.status != 200:
+    if response.status != 200:
         fail(text.strip())
     return [json.loads(line) for line in text.splitlines() if line]
 
--- a/basalthook/program/operator_commands.py
+++ b/basalthook/program/operator_commands.py
@@ -28,8 +28,8 @@
         host_name, port = catalogue.parse_address(address)
         connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
         connection.request(method, path)
-        answer = connection.getresponse()
-        text = answer.read().decode().strip()
+        response = connection.getresponse()
+        text = response.read().decode().strip()
         connection.close()
     except ValueError as error:
         raise click.UsageError(str(error)) from None
@@ -37,7 +37,7 @@
         click.echo(f"basalthook: no answer from {address}: {error}", err=True)
         sys.exit(1)
     click.echo(text)
-    sys.exit(0 if 200 <= answer.status < 300 else 1)
+    sys.exit(0 if 200 <= response.status < 300 else 1)
 
 
 def send_command(address: str, seconds: float, action: str, host: str = "") -> NoReturn:
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -95,8 +95,8 @@
 class DiscoveryUpdate(NamedTuple):
     """A host list has arrived."""
 
-    listing: HostList
-    answered: bool  # false: known before, not an answer of discovery
+    host_list: HostList
+    from_discovery: bool  # false: known from the start-up file or an earlier process
 
 
 class OverridesChanged(NamedTuple):
@@ -147,7 +147,7 @@
 
     def start(self, known_hosts: HostList) -> None:
         """Pass on the list that is known at start-up."""
-        self.handle_event(self.registry.apply_listing(known_hosts, answered=False))
+        self.handle_event(self.registry.apply_host_list(known_hosts, from_discovery=False))
 
     def post(self, item) -> None:
         """Queue an item, and handle the queue unless that is under way."""
@@ -240,12 +240,12 @@
         self.forget_if_finished(transaction)
 
     def on_discovery_update(self, item: DiscoveryUpdate) -> None:
-        self.handle_event(self.registry.apply_listing(item.listing, item.answered))
+        self.handle_event(self.registry.apply_host_list(item.host_list, item.from_discovery))
         self.registry.drop_unheld(self.policy.hosts)
         if changes := self.registry.changes:
             self.log_event(
                 "endpoints",
-                version=item.listing.version,
+                version=item.host_list.version,
                 **{change: ids[:MAX_LOGGED_IDS] for change, ids in changes.items()},
                 count=sum(map(len, changes.values())),
             )
--- a/basalthook/routing/host_registry.py
+++ b/basalthook/routing/host_registry.py
@@ -45,18 +45,20 @@
         self.changes: dict[str, list[str]] = {}  # by the newest list: kind of change -> ids of hosts
         self.on_host_left = lambda pool_key: None  # called with the pool key of a host that has left
 
-    def apply_listing(self, listing: HostList, answered: bool) -> interface.HostListReceived:
+    def apply_host_list(self, host_list: HostList, from_discovery: bool) -> interface.HostListReceived:
         """Update the registry from a list, and convert the list to the policy's event."""
         self.changes = {}
         event = interface.HostListReceived(
-            tuple(self._update_entry(record) for record in listing.records), listing.complete, answered
+            tuple(self._update_entry(record) for record in host_list.records),
+            host_list.complete,
+            from_discovery,
         )
         named = {entry.host_id for entry in event.hosts}
-        removed = {self.numbers_by_id[record.id] for record in listing.records if record.removed}
-        if listing.complete:
+        removed = {self.numbers_by_id[record.id] for record in host_list.records if record.removed}
+        if host_list.complete:
             removed |= self.entries.keys() - named
         self._drop(n for n in removed if not (self.use_unlisted and self.entries[n].ready))
-        if answered and self.start_times is not None:
+        if from_discovery and self.start_times is not None:
             self.start_times.list_received()
         return event
 
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -167,21 +167,21 @@
                 response = await self.call(connection, wait)
             if isinstance(response, ConnectionFailure):
                 return response.reason
-            listing = catalogue.decode_host_list(response.body) if response.status == 200 else None
-            if listing is None:
+            host_list = catalogue.decode_host_list(response.body) if response.status == 200 else None
+            if host_list is None:
                 return (
                     f"status {response.status}, no valid list"
                     if response.status == 200
                     else (f"status {response.status}")
                 )
-            if full_list and not listing.complete:
+            if full_list and not host_list.complete:
                 return "changes instead of the complete list"
-            await self.take_answer(listing, task, at_once)
+            await self.take_answer(host_list, task, at_once)
             at_once, hedge_delay = False, self.schedule.hedge_delay(1)
             if not response.keep_alive:
                 return ""
 
-    async def take_answer(self, listing: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
+    async def take_answer(self, host_list: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
         """Take the first answer of any call; its connection continues the watch, the others are cancelled."""
         others = [call for call in self.calls if call is not task]
         for call in others:
@@ -190,25 +190,29 @@
             self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.failure_reasons, self.answered_at = [task], [], self.timers.now()
         self.schedule.on_answer()
-        if listing.version < self.version and not self.needs_full_list:
+        if host_list.version < self.version and not self.needs_full_list:
             # Discovery has restarted its version numbers. It may never reach ours, and its changes would be
             # applied to a different list.
             self.needs_full_list = True
-            self.log_event("list behind", version=listing.version, ours=self.version)
+            self.log_event("list behind", version=host_list.version, ours=self.version)
             return
-        newer, self.version, self.needs_full_list = listing.version != self.version, listing.version, False
-        if newer or listing.records or listing.complete:
-            doubled = {"doubled": listing.duplicates} if listing.duplicates else {}
+        newer, self.version, self.needs_full_list = (
+            host_list.version != self.version,
+            host_list.version,
+            False,
+        )
+        if newer or host_list.records or host_list.complete:
+            doubled = {"doubled": host_list.duplicates} if host_list.duplicates else {}
             self.log_event(
                 "list",
-                version=listing.version,
-                complete=listing.complete,
-                lines=len(listing.records),
+                version=host_list.version,
+                complete=host_list.complete,
+                lines=len(host_list.records),
                 **doubled,
             )
-            self.dispatcher.post(DiscoveryUpdate(listing, answered=True))
+            self.dispatcher.post(DiscoveryUpdate(host_list, from_discovery=True))
         else:
-            self.log_event("list unchanged", version=listing.version)
+            self.log_event("list unchanged", version=host_list.version)
         self.notify_contact()
         if not at_once:
             await asyncio.sleep(CHANGED_PAUSE_S if newer else UNCHANGED_PAUSE_S)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 
 
 class RecordingLog:
-    """Keeps the events that are logged."""
+    """A log that keeps its events in memory."""
 
     def __init__(self):
         self.lines = []
@@ -28,8 +28,8 @@
         """Start these hosts, discovery and a proxy that knows them; return a client of the proxy."""
         self.unhandled = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: self.unhandled.append(context))
-        self.hosts, self.log = [await self.start_server(h) for h in hosts], RecordingLog()
-        self.discovery = await self.start_server(SocketDiscovery())
+        self.hosts, self.log = [await self.start_fake(h) for h in hosts], RecordingLog()
+        self.discovery = await self.start_fake(SocketDiscovery())
         self.service = Service(decode(start_up(self.hosts, self.discovery, **settings), {}), self.log)
         self.listener = self.service.begin()
         self.addAsyncCleanup(self.stop)
@@ -38,13 +38,15 @@
         return await self.connect()
 
     async def connect(self):
+        """Return another client of the proxy."""
         caller = await Caller().to(self.listener.address)
         self.addAsyncCleanup(caller.stop)
         return caller
 
-    async def start_server(self, server):
-        self.addAsyncCleanup(server.stop)
-        return await server.start()
+    async def start_fake(self, fake):
+        """Start a fake host or a fake discovery; it is stopped after the test."""
+        self.addAsyncCleanup(fake.stop)
+        return await fake.start()
 
     async def stop(self):
         self.listener.close()
@@ -59,7 +61,7 @@
         self.assertEqual(self.unhandled, [])
 
     def set_settle_time(self, seconds):
-        """How long a connection to a host rests between two attempts."""
+        """Set how long a pooled connection to a host is left unused after a response."""
         patch = unittest.mock.patch("basalthook.transport.hostpool.REUSE_DELAY_S", seconds)
         patch.start()
         self.addCleanup(patch.stop)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The admin address on loopback: requests, hosts disabled and enabled, clients drained; merging of orders."""
+"""The admin address on loopback: requests, hosts disabled and enabled, clients drained; overrides merged."""
 
 import asyncio
 import itertools
@@ -100,11 +100,11 @@
         for _ in range(2):  # disabled twice, enabled once
             self.assertEqual((await self.call("PUT", "/-/hosts/s-0/disable"))[0], 200)
         self.assertEqual((await self.call("PUT", "/-/hosts/s-0/enable"))[0], 200)
-        server = next(s for s in self.service.dispatcher.policy.hosts.values() if s.entry.started_at)
-        self.assertAlmostEqual(server.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
+        host = next(s for s in self.service.dispatcher.policy.hosts.values() if s.entry.started_at)
+        self.assertAlmostEqual(host.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
         await self.wait_until(lambda: self.service.watch.version == 2)
-        self.assertAlmostEqual(server.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
+        self.assertAlmostEqual(host.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
         await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
 
     async def reaches(self, caller, host):
@@ -175,17 +175,19 @@
 
 
 HOSTS = st.sampled_from("abc")
-ORDERS = st.lists(st.tuples(HOSTS | st.none(), st.integers(1, 40), st.booleans()), max_size=12)
+CHANGES = st.lists(st.tuples(HOSTS | st.none(), st.integers(1, 40), st.booleans()), max_size=12)
 
 
-class MergingOrders(unittest.TestCase):
-    @given(ORDERS, ORDERS)
+class MergingOverrides(unittest.TestCase):
+    @given(CHANGES, CHANGES)
     def test_two_sets_merge_to_the_same_in_either_order_and_repeatedly(self, mine, theirs):
         def merged(changes):
-            orders = OperatorOverrides()
-            for host, now, out in changes:
-                orders.set_drained(now, out) if host is None else orders.set_disabled(host, now, out)
-            return orders
+            overrides = OperatorOverrides()
+            for host, now, disabled in changes:
+                overrides.set_drained(now, disabled) if host is None else overrides.set_disabled(
+                    host, now, disabled
+                )
+            return overrides
 
         one, other = merged(mine), merged(theirs)
         one.merge(merged(theirs))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -36,9 +36,9 @@
         self.assertGreaterEqual(make_schedule(proxies=100).hedge_delay_after_failure(1, 1, False), 5_000 - 1)
 
     def test_parallel_calls_for_a_pushed_list_come_within_the_grace_for_a_few_proxies_only(self):
-        for proxies, most in ((1, 1_250), (12, 1_250), (30, 3_000), (2_000, 5_000)):
+        for proxies, max_delay in ((1, 1_250), (12, 1_250), (30, 3_000), (2_000, 5_000)):
             schedule = make_schedule(list_on_request=False, proxies=proxies)
-            self.assertLessEqual(schedule.hedge_delay(1, immediate=True), most)
+            self.assertLessEqual(schedule.hedge_delay(1, immediate=True), max_delay)
         self.assertEqual(schedule.hedge_delay(1, immediate=True), schedule.hedge_delay(1))
         self.assertEqual(make_schedule().hedge_delay(1, immediate=True), make_schedule().hedge_delay(1))
 
@@ -60,10 +60,10 @@
         st.integers(0, 2**32),
     )
     def test_after_any_number_of_failures_the_next_call_precedes_the_effect_of_a_change(
-        self, failures, ask_within, drain_grace, pushed, seed
+        self, failures, poll_interval, drain_grace, pushed, seed
     ):
         schedule = make_schedule(
-            seed, list_poll_interval=ask_within, list_on_request=not pushed, drain_grace=drain_grace
+            seed, list_poll_interval=poll_interval, list_on_request=not pushed, drain_grace=drain_grace
         )
         for _ in range(failures):
             self.assertLessEqual(schedule.retry_delay(overloaded=True), 20_000)
@@ -92,8 +92,8 @@
             self.assertLessEqual(max(schedule.retry_delay(overloaded) for _ in range(40)), 2_500)
 
     @given(st.integers(100_000, 600_000), st.sampled_from(("retry_delay", "on_silence", "on_move")))
-    def test_the_watch_after_a_failure_is_short_and_grows_with_each_answer(self, ask_within, event):
-        schedule = make_schedule(list_poll_interval=ask_within)
+    def test_the_watch_after_a_failure_is_short_and_grows_with_each_answer(self, poll_interval, event):
+        schedule = make_schedule(list_poll_interval=poll_interval)
         regular_wait = schedule.watch_wait()
         getattr(schedule, event)(*([True] if event == "retry_delay" else []))
         seen_as_silent = schedule.watch_wait() + schedule.hedge_delay(1)
@@ -113,9 +113,9 @@
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(("up", "draining", "removed")))))
     def test_of_two_lines_for_one_host_the_one_that_removes_it_takes_precedence(self, lines):
         servers = [{"id": name, "addr": "127.0.0.1:9", "state": state} for name, state in lines]
-        found = catalogue.parse_host_list({"version": 3, "full": True, "servers": servers})
+        host_list = catalogue.parse_host_list({"version": 3, "full": True, "servers": servers})
         self.assertEqual(
-            {line.id: line.ready for line in found.records},
+            {line.id: line.ready for line in host_list.records},
             {name: all(state == "up" for other, state in lines if other == name) for name, _ in lines},
         )
 
@@ -183,7 +183,7 @@
     async def test_changes_from_another_discovery_are_not_applied_before_its_whole_list(self):
         await self.start_proxy(SocketHost(), SocketHost())
         await self.discovery.got.get()
-        moved = await self.start_server(SocketDiscovery())
+        moved = await self.start_fake(SocketDiscovery())
         self.service.watch.set_address(catalogue.parse_address(moved.address))
         self.assertEqual(await moved.got.get(), "/catalog/members")
         moved.tell(9, self.hosts[0].line("s-0"))  # full: false
@@ -207,17 +207,17 @@
         await self.start_proxy(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
             self.discovery.tell(version, self.hosts[0].line("s-0", state="draining"), full=full)
-        asked = [await self.discovery.got.get() for _ in range(4)]
-        self.assertEqual((asked[2], "index=2&" in asked[3]), ("/catalog/members", True))
+        requests = [await self.discovery.got.get() for _ in range(4)]
+        self.assertEqual((requests[2], "index=2&" in requests[3]), ("/catalog/members", True))
 
     async def test_a_discovery_that_always_answers_at_once_is_called_at_a_bounded_rate(self):
         # Always the same version of the list; a newer one each time.
-        for version, most in ((lambda n: 2, 8), (lambda n: n, 110)):
+        for version, max_calls in ((lambda n: 2, 8), (lambda n: n, 110)):
             await self.start_proxy(SocketHost())
             for n in range(2, 1_000):
                 self.discovery.tell(version(n), self.hosts[0].line("s-0"), full=True)
             await asyncio.sleep(0.5)
-            self.assertIn(self.discovery.got.qsize(), range(3, most))
+            self.assertIn(self.discovery.got.qsize(), range(3, max_calls))
             await self.stop()
 
     async def test_a_list_of_eleven_hundred_hosts_is_applied_and_its_changes_too(self):
@@ -238,7 +238,7 @@
         self.assertFalse(self.service.dispatcher.registry.is_ready(0))
         await self.discovery.stop()
         await asyncio.sleep(0.6)  # it keeps calling, within half of the grace
-        lost = [line for line in self.log.lines if line["event"] == "list lost"]
-        self.assertIn(len(lost), range(2, 8))
-        self.assertTrue(all(line["again_ms"] <= 250 for line in lost))
+        failures_logged = [line for line in self.log.lines if line["event"] == "list lost"]
+        self.assertIn(len(failures_logged), range(2, 8))
+        self.assertTrue(all(line["again_ms"] <= 250 for line in failures_logged))
         self.assertEqual((await caller.outcome(), self.hosts[0].got.qsize()), (200, 0))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -136,8 +136,8 @@
         stage.many(60)
         old = stage.proxy.hosts[1]
         new, _ = self.upgraded(stage, hosts)
-        server = new.proxy.hosts[1]
-        self.assertEqual((server.cold_since, list(server.sent.times)), (old.cold_since, list(old.sent.times)))
+        host = new.proxy.hosts[1]
+        self.assertEqual((host.cold_since, list(host.sent.times)), (old.cold_since, list(old.sent.times)))
         self.assertEqual(new.proxy.commit_rate, stage.proxy.commit_rate)
         hosts[1].line = hosts[1].line._replace(started_at=stage.now)
         again, restored = self.upgraded(stage, hosts)
@@ -192,7 +192,7 @@
         with open(self.path, "w") as file:
             json.dump(start_up(self.hosts, self.discovery, listen, console="127.0.0.1:0"), file)
 
-    async def start(self, *before, **more):
+    async def start(self, *before, **environ):
         """`before`: events that it logs before it is ready."""
         number = self.socket.fileno()
         process = await asyncio.create_subprocess_exec(
@@ -206,7 +206,7 @@
                 "RELAY_CONFIG": self.path,
                 "TMPDIR": self.folder,
                 "RELAY_FD": str(number),
-                **more,
+                **environ,
             },
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
@@ -260,7 +260,7 @@
         self.assertEqual(set(answers), {200})
         self.assertGreater(len(answers), 50)
 
-    async def test_operators_orders_hold_in_both_processes_and_after_a_kill(self):
+    async def test_operator_overrides_hold_in_both_processes_and_after_a_kill(self):
         old = await self.start()
         self.assertEqual((await self.call(old, "PUT", "hosts/s-0/disable"))[0], 200)
         new = await self.start()
@@ -275,7 +275,7 @@
         self.assertEqual((await self.call(last, "PUT", "hosts/s-0/enable"))[0], 200)
         self.assertEqual((await self.call(last, "GET", "hosts"))[1].count(b'"out":true'), 1)
 
-    async def test_an_order_that_could_not_be_written_at_once_is_written_later(self):
+    async def test_an_override_that_could_not_be_written_at_once_is_written_later(self):
         process = await self.start()
         blocking_path = os.path.join(self.folder, f"basalthook-n1.orders.{process.pid}.part")
         os.mkdir(blocking_path)
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -17,7 +17,7 @@
 from basalthook.transport import timestamps
 from basalthook.transport.buffers import BufferPool
 from basalthook.transport.connection import Connection
-from basalthook.transport.connection import Stage as Reached
+from basalthook.transport.connection import Stage as ConnectionStage
 from basalthook.transport.descriptors import DescriptorBudget
 from basalthook.transport.event_loop import TimedSelector, run
 from basalthook.transport.timers import COMPACT_THRESHOLD, Timers
@@ -34,18 +34,24 @@
 
     def test_at_twice_the_capacity_what_is_accepted_is_served_in_time(self):
         """One worker, arrivals at twice its rate; shedding costs a tenth of a transaction."""
-        control, chance, free, waits, taken = AdmissionControl(GOAL, Random(1)), Random(2), 0.0, [], 0
+        control, random_source, free, waits, admitted_count = (
+            AdmissionControl(GOAL, Random(1)),
+            Random(2),
+            0.0,
+            [],
+            0,
+        )
         now = 0.0
         for n in range(40_000):
-            now += chance.expovariate(1 / 2.0)
+            now += random_source.expovariate(1 / 2.0)
             free = max(free, now)
             admitted = control.admit(int(free), int(free - now))
             free += 4.0 if admitted else 0.4
             if n > 20_000:
-                taken += admitted
+                admitted_count += admitted
                 waits.append(free - now if admitted else 0)
         self.assertLess(sorted(waits)[len(waits) * 99 // 100], GOAL)
-        self.assertGreater(taken / 20_000, 0.4)  # of the 45 % that the worker could serve
+        self.assertGreater(admitted_count / 20_000, 0.4)  # of the 45 % that the worker could serve
 
     def test_arrivals_beyond_the_goal_are_shed_and_idle_time_ends_shedding(self):
         control = AdmissionControl(GOAL, Random(1))
@@ -83,11 +89,11 @@
         stage.many(40, profile=2)
         self.assertEqual([tx for tx in range(stage.next - 40, stage.next) if tx not in stage.answers], [])
         for tx in lost:
-            server = stage.sends()[tx]
-            stage.end(tx, 0, server, interface.TIMED_OUT, elapsed=9_000)
-        for server in stage.proxy.hosts.values():
-            self.assertLess(server.slowdown, max(1.5, before[server.id] + 0.5))
-            self.assertEqual(server.excluded_until, {})
+            host = stage.sends()[tx]
+            stage.end(tx, 0, host, interface.TIMED_OUT, elapsed=9_000)
+        for host in stage.proxy.hosts.values():
+            self.assertLess(host.slowdown, max(1.5, before[host.id] + 0.5))
+            self.assertEqual(host.excluded_until, {})
 
     def test_a_host_that_stops_answering_is_still_banned(self):
         stage = self.stage()
@@ -105,11 +111,11 @@
         stage.many(20)
         stage.turn(None)
         tx = stage.arrive(key=1)
-        server = stage.proxy.hosts[stage.sends()[-1]]
+        host = stage.proxy.hosts[stage.sends()[-1]]
         stage.now += 5_000
-        for seen, silent in ((stage.now - 4_999, False), (stage.now, True)):
-            stage.run(stage.proxy.handle(stage.now, interface.TimerDue(tx + 2), seen))
-            self.assertEqual(stage.proxy.is_suspect(server, stage.proxy.txs[tx]), silent)
+        for received_until, silent in ((stage.now - 4_999, False), (stage.now, True)):
+            stage.run(stage.proxy.handle(stage.now, interface.TimerDue(tx + 2), received_until))
+            self.assertEqual(stage.proxy.is_suspect(host, stage.proxy.txs[tx]), silent)
 
 
 class TimersAndStamps(unittest.IsolatedAsyncioTestCase):
@@ -120,15 +126,15 @@
             return frozen_time[0] if frozen_time else time.monotonic_ns() // 100_000
 
         timers = Timers(clock, 10_000)
-        kept = [timers.set(delay, fired.append, delay) for delay in (90, 30, 60)]
+        entries = [timers.set(delay, fired.append, delay) for delay in (90, 30, 60)]
         dropped = [timers.set(20, fired.append, "cancelled") for _ in range(2 * COMPACT_THRESHOLD)]
         for entry in dropped + dropped:
             timers.cancel(entry)
-        self.assertLessEqual(len(timers.heap), COMPACT_THRESHOLD + len(kept))
+        self.assertLessEqual(len(timers.heap), COMPACT_THRESHOLD + len(entries))
         frozen_time.clear()
         await asyncio.sleep(0.02)
         self.assertEqual(fired, [30, 60, 90])
-        timers.cancel(kept[0])
+        timers.cancel(entries[0])
         self.assertEqual((timers.heap, timers.cancelled, timers.wakeup_handle), ([], 0, None))
 
     async def test_unread_bytes_report_how_long_they_waited(self):
@@ -136,45 +142,48 @@
             self.skipTest("this system has no arrival time stamps")
         with socket.create_server(("127.0.0.1", 0)) as server:
             timestamps.enable(server)
-            theirs = socket.create_connection(server.getsockname())
-            ours, _ = server.accept()
-        connection, waits = Connection(ours, BufferPool(64, 8), DescriptorBudget(64)), []
+            peer = socket.create_connection(server.getsockname())
+            accepted, _ = server.accept()
+        connection, waits = Connection(accepted, BufferPool(64, 8), DescriptorBudget(64)), []
         connection.start_reading(lambda part, late: waits.append(late), None)
         await asyncio.sleep(0.05)  # time stamps start a moment after they are requested
         for pause in (0, 0.05):
-            theirs.send(b"x")
+            peer.send(b"x")
             time.sleep(pause)
             while len(waits) < (2 if pause else 1):
                 await asyncio.sleep(0)
         self.assertLess(waits[0], waits[1])
         self.assertGreaterEqual(waits[1], 50_000_000)
         connection.close()
-        theirs.close()
+        peer.close()
 
     async def test_an_established_connection_is_not_given_up(self):
         """The timer ran before the loop had polled the socket, and a healthy host was banned for 10 s."""
         with socket.create_server(("127.0.0.1", 0)) as server:
-            connection, up = (
+            connection, connect_results = (
                 Connection.for_address(server.getsockname(), BufferPool(64, 8), DescriptorBudget(64)),
                 [],
             )
-            connection.connect(server.getsockname(), up.append)
+            connection.connect(server.getsockname(), connect_results.append)
             connection.connect_timed_out("not within 0.25 s")
             self.assertFalse(connection.closed)
-            while not up:
+            while not connect_results:
                 await asyncio.sleep(0)
-            self.assertEqual(up, [None])
+            self.assertEqual(connect_results, [None])
             connection.close()
 
     async def test_a_late_timer_does_not_take_a_refused_connection_for_an_established_one(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
-        connection, up = Connection.for_address(address, BufferPool(64, 8), DescriptorBudget(64)), []
-        connection.connect(address, up.append)
+        connection, connect_results = (
+            Connection.for_address(address, BufferPool(64, 8), DescriptorBudget(64)),
+            [],
+        )
+        connection.connect(address, connect_results.append)
         connection.connect_timed_out("not within 0.25 s")
-        while not up:
+        while not connect_results:
             await asyncio.sleep(0)
-        self.assertEqual((up[0].stage, connection.closed), (Reached.CONNECTING, True))
+        self.assertEqual((connect_results[0].stage, connection.closed), (ConnectionStage.CONNECTING, True))
 
 
 class Stalled(unittest.TestCase):
@@ -182,24 +191,26 @@
 
     def setUp(self):
         """The system starts its time stamps a moment after the first socket that requests them."""
-        asks = socket.socket()
-        self.addCleanup(asks.close)
-        timestamps.enable(asks)
+        sock = socket.socket()
+        self.addCleanup(sock.close)
+        timestamps.enable(sock)
         time.sleep(0.05)
 
-    def play(self, story, *hosts, **told):
+    def run_proxy(self, scenario, *hosts, **settings):
         selector, log = TimedSelector(), []
 
         async def main():
             started = [await host.start() for host in hosts]
             discovery = await SocketDiscovery().start()
-            said = unittest.mock.Mock(
+            recording_log = unittest.mock.Mock(
                 log_event=lambda event, **fields: log.append({"event": event, **fields})
             )
-            service = Service(decode(start_up(started, discovery, **told), {}), said, None, selector)
+            service = Service(
+                decode(start_up(started, discovery, **settings), {}), recording_log, None, selector
+            )
             listener = service.begin()
             try:
-                await asyncio.wait_for(story(service, listener.address), 20)
+                await asyncio.wait_for(scenario(service, listener.address), 20)
             finally:
                 listener.close()
                 for client in list(service.clients.open_clients):
@@ -218,24 +229,24 @@
         """The attempt's time limit, the policy's timer and the connect timeout all fall due in the stall."""
         host = SocketHost(SILENT)
 
-        async def story(service, address):
+        async def scenario(service, address):
             caller = await Caller().to(address)
             caller.ask("submit", timeout="0.15")
             await host.got.get()
             host.writers[0].write(OK)
             time.sleep(0.3)
             self.assertEqual((await caller.answer())[0], 200)
-            (server,) = service.dispatcher.policy.hosts.values()
-            self.assertLess(server.slowdown, 2.0)
+            (host_state,) = service.dispatcher.policy.hosts.values()
+            self.assertLess(host_state.slowdown, 2.0)
             self.assertLess(service.dispatcher.policy.latency[1].mean, 1_000)
             await caller.stop()
 
-        self.assertEqual([line for line in self.play(story, host) if line["event"] == "hop"], [])
+        self.assertEqual([line for line in self.run_proxy(scenario, host) if line["event"] == "hop"], [])
 
     def test_requests_unread_for_longer_than_their_goal_are_rolled_back_and_reach_no_host(self):
         host = SocketHost()
 
-        async def story(service, address):
+        async def scenario(service, address):
             callers = [await Caller().to(address) for _ in range(8)]
             self.assertEqual(await callers[0].outcome(), 200)
             for caller in callers:
@@ -249,4 +260,4 @@
             for caller in callers:
                 await caller.stop()
 
-        self.assertEqual(sum(line["event"] == "door" for line in self.play(story, host)), 8)
+        self.assertEqual(sum(line["event"] == "door" for line in self.run_proxy(scenario, host)), 8)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,13 +16,13 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def start(*words, **more):
+async def start(*args, **environ):
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "basalthook",
-        *words,
-        env={**os.environ, **more},
+        *args,
+        env={**os.environ, **environ},
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -36,7 +36,7 @@
         self.assertEqual(len(self.hosts[0].writers), 1)
 
     async def test_after_a_refused_connection_the_transaction_goes_to_the_next_host(self):
-        dead, alive = await self.start_server(SocketHost()), SocketHost()
+        dead, alive = await self.start_fake(SocketHost()), SocketHost()
         dead.server.close()
         await dead.server.wait_closed()
         caller = await self.start_proxy(alive)
@@ -424,17 +424,17 @@
         caller = await self.start_proxy(SocketHost())
         self.discovery.news.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
         self.discovery.news.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        lines = [
+        records = [
             self.hosts[0].line(f"s-{n}", state="draining") for n in range(500)
         ]  # longer than many buffers
-        self.discovery.tell(7, *lines, full=True)
+        self.discovery.tell(7, *records, full=True)
         for _ in range(4):
             self.assertIn("index=", await self.discovery.got.get())
         self.assertEqual(sum(line["event"] == "list lost" for line in self.log.lines), 2)
         self.assertEqual(await caller.outcome(timeout="0.05"), 503)  # no host is ready any more
 
     async def test_a_host_that_moved_is_found_at_its_new_address(self):
-        caller, moved = await self.start_proxy(SocketHost()), await self.start_server(SocketHost())
+        caller, moved = await self.start_proxy(SocketHost()), await self.start_fake(SocketHost())
         self.discovery.tell(2, moved.line("s-0"))
         await self.wait_until(lambda: [line for line in self.log.lines if line["event"] == "list"])
         self.assertEqual(await caller.outcome(), 200)
@@ -453,32 +453,32 @@
         self.assertEqual(await (await self.connect()).outcome(), 200)
 
     async def test_hosts_that_are_gone_are_forgotten_when_no_attempt_is_open(self):
-        registry, host = HostRegistry(), await self.start_server(SocketHost())
+        registry, host = HostRegistry(), await self.start_fake(SocketHost())
         first = decode(start_up([host], host), {}).known_hosts
-        number = registry.apply_listing(first, False).hosts[0].host_id
+        number = registry.apply_host_list(first, False).hosts[0].host_id
         registry.attempt_started(number)
-        registry.apply_listing(first._replace(records=()), True)
+        registry.apply_host_list(first._replace(records=()), True)
         self.assertEqual((len(registry.entries), registry.is_ready(number)), (1, False))
         registry.attempt_finished(number)
         self.assertEqual((registry.entries, registry.numbers_by_id), ({}, {}))
-        self.assertNotEqual(registry.apply_listing(first, True).hosts[0].host_id, number)
+        self.assertNotEqual(registry.apply_host_list(first, True).hosts[0].host_id, number)
 
     async def test_where_only_draining_binds_an_unlisted_host_stays_until_dropped_and_a_drained_one_does_not(
         self,
     ):
-        registry, host = HostRegistry(use_unlisted=True), await self.start_server(SocketHost())
+        registry, host = HostRegistry(use_unlisted=True), await self.start_fake(SocketHost())
         first = decode(start_up([host], host), {}).known_hosts
-        number = registry.apply_listing(first, False).hosts[0].host_id
+        number = registry.apply_host_list(first, False).hosts[0].host_id
         gone = first.records[0]._replace(ready=False)
-        for lines, stays in (
+        for records, stays in (
             ((), True),
             ((gone._replace(removed=True),), True),
             ((gone._replace(draining=True),), False),
         ):
-            registry.apply_listing(first._replace(records=lines), True)
+            registry.apply_host_list(first._replace(records=records), True)
             registry.drop_unheld({number})
             self.assertEqual(registry.is_ready(number), stays)
-        registry.apply_listing(first, True)
+        registry.apply_host_list(first, True)
         registry.drop_unheld({})
         self.assertEqual(registry.entries, {})
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -58,19 +58,19 @@
             caller = await self.start_proxy(SocketHost(), SocketHost())
             failures, real = [code], socket.socket
             # connections to discovery do not fail
-            endpoints = {catalogue.parse_address(host.address) for host in self.hosts}
+            host_addresses = {catalogue.parse_address(host.address) for host in self.hosts}
 
             class Failing(real):
-                def connect(self, address, failures=failures, endpoints=endpoints):
-                    if failures and address in endpoints:
+                def connect(self, address, failures=failures, host_addresses=host_addresses):
+                    if failures and address in host_addresses:
                         raise OSError(failures.pop(), "temporary")
                     return super().connect(address)
 
             with patch.object(socket, "socket", Failing):
                 self.assertEqual(await caller.outcome(), 200)
             self.assertEqual((failures, [found for _, found in self.log.failed_attempts()]), ([], [outcome]))
-            servers = self.service.dispatcher.policy.hosts.values()
-            self.assertEqual(any(host.excluded_until for host in servers), outcome == "unreachable")
+            host_states = self.service.dispatcher.policy.hosts.values()
+            self.assertEqual(any(host.excluded_until for host in host_states), outcome == "unreachable")
             await self.stop()
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -17,11 +17,11 @@
         self.now = 10 * HOUR
         self.registry = HostRegistry(start_times=StartTimes(lambda: self.now))
 
-    def listed_start(self, started, answered=True, name="s-0"):
+    def listed_start(self, started, from_discovery=True, name="s-0"):
         """The start time that the policy gets, in ticks; `started` is the reported one, None: long ago."""
-        line = HostRecord(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK_NS)
-        listing = HostList(1, False, (line,))
-        return self.registry.apply_listing(listing, answered).hosts[0].started_at
+        record = HostRecord(name, ("127.0.0.1", 1), "a", 0, True, False, 1.0, (started or 0) * TICK_NS)
+        host_list = HostList(1, False, (record,))
+        return self.registry.apply_host_list(host_list, from_discovery).hosts[0].started_at
 
     def test_a_start_reported_while_our_clock_is_an_hour_ahead_counts_as_now(self):
         self.listed_start(None)
@@ -29,7 +29,7 @@
         self.assertEqual(self.listed_start(self.now - HOUR), self.now)
 
     def test_a_start_in_the_future_of_our_clock_counts_as_now(self):
-        self.assertEqual(self.listed_start(self.now + HOUR, answered=False), self.now)
+        self.assertEqual(self.listed_start(self.now + HOUR, from_discovery=False), self.now)
 
     def test_a_start_is_estimated_once(self):
         self.listed_start(None)
@@ -41,7 +41,7 @@
 
     def test_plausible_starts_are_taken_as_reported(self):
         # in the first list
-        self.assertEqual(self.listed_start(self.now - HOUR, answered=False), self.now - HOUR)
+        self.assertEqual(self.listed_start(self.now - HOUR, from_discovery=False), self.now - HOUR)
         for ago in (0, 3 * TICKS_PER_SECOND, 24 * TICKS_PER_SECOND):  # up to the delay of lists
             self.setUp()
             self.listed_start(None, name="s-1")
