--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -17,7 +17,7 @@
     """Forwards the response that `parser` reads from `connection` to a client.
 
     The client has two methods. `write_piece(data)` returns whether the kernel has accepted all of the data;
-    if not, the client calls `resume` once it has. `forwarding_finished(whole)` is called once, at the end.
+    if not, the client calls `resume` once it has. `forwarding_finished(complete)` is called once, at the end.
     """
 
     __slots__ = ("connection", "parser", "timers", "release", "client", "timer", "ended")
@@ -68,12 +68,12 @@
     def _finish(self) -> None:
         result = self.parser.result
         self._mark_ended()
-        whole = isinstance(result, Message)
-        if whole and result.keep_alive and not self.parser.unparsed:
+        complete = isinstance(result, Message)
+        if complete and result.keep_alive and not self.parser.unparsed:
             self.release(self.connection)
         else:
             self.connection.close()
-        self.client.forwarding_finished(whole)
+        self.client.forwarding_finished(complete)
 
     def stop(self) -> None:
         """Stop forwarding: the client has gone, or one side has stalled."""
--- a/basalthook/console/admin_server.py
+++ b/basalthook/console/admin_server.py
@@ -1,7 +1,7 @@
 """The server at the admin address: one request per connection, handled before client connections.
 
-It has a few descriptors of its own, so that a crowd at the clients' address can't take them. A connection
-that does not complete a request is closed after `REQUEST_TIMEOUT_S`, or earlier when its place is needed.
+It has a few descriptors of its own, which client connections can't use up. A connection that does not
+complete a request is closed after `REQUEST_TIMEOUT_S`, or earlier if a new one needs its place.
 """
 
 from ..protocol.http1 import Parser, Rejection
@@ -37,7 +37,7 @@
                 self.respond(self.server.handle_message(self.parser.result))
             elif self.parser.expects_continue:
                 self.respond(admin_api.AdminResponse(417, "no body is wanted"))
-        except Exception as error:  # an exception must not affect other connections
+        except Exception as error:  # must affect this connection only
             self.server.log_event("fault", where="console", error=repr(error))
             self.drop()
 
--- a/basalthook/handover/__init__.py
+++ b/basalthook/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Upgrades without a gap: the inherited socket, what an old process leaves to its successor, who serves."""
+"""Upgrades without downtime: the inherited socket, state for the successor, and which process serves."""
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 0.1  # between two checks of the other process's files; a check takes microseconds
 WRITE_INTERVAL_S = 0.5  # between two records of the state; operator overrides are written at once
 FINAL_WRITE_TIMEOUT_S = 1.0  # for the last record, once all transactions are answered
-MAX_STATE_AGE = 15 * TICKS_PER_SECOND  # older state is worth less than the start-up file
+MAX_STATE_AGE = 15 * TICKS_PER_SECOND  # with older state, the start-up file is the better source
 # Raised for records with a valid checksum and unexpected content.
 INVALID_RECORD_ERRORS = (ValueError, TypeError, KeyError, AttributeError)
 
@@ -255,7 +255,7 @@
 
     def log_error(self, reason: str) -> None:
         """Logs the reason, unless it is the same as the last one."""
-        if reason != self.last_error:  # else the poll would log it ten times a second
+        if reason != self.last_error:  # the poll would log it ten times a second
             self.last_error = reason
             self.log_event("handover", reason=reason)
 
--- a/basalthook/program/migrate.py
+++ b/basalthook/program/migrate.py
@@ -98,7 +98,7 @@
     settings, overrides = old["settings"], overrides or {}
     already_migrated = all(settings.get(name) == value for name, value in NEW_VALUES.items())
     unknown: list[str] = []
-    new = _known(copy.deepcopy(old), KNOWN_FIELDS, "", unknown)
+    new = _copy_known_fields(copy.deepcopy(old), KNOWN_FIELDS, "", unknown)
     changes = [
         f"settings.{name}: {settings.get(name)!r} becomes {value!r}"
         for name, value in NEW_VALUES.items()
@@ -118,15 +118,15 @@
     return Migration(new, changes, unknown, manual_steps, already_migrated)
 
 
-def _known(value, fields, path: str, unknown: list[str]):
+def _copy_known_fields(value, fields, path: str, unknown: list[str]):
     """Copies the fields that are read; the paths of all others are added to `unknown`."""
     if isinstance(fields, list) and isinstance(value, list):
-        return [_known(item, fields[0], f"{path}[{n}]", unknown) for n, item in enumerate(value)]
+        return [_copy_known_fields(item, fields[0], f"{path}[{n}]", unknown) for n, item in enumerate(value)]
     if not isinstance(fields, dict) or not isinstance(value, dict):
         return value  # a wrong type is reported when the whole file is decoded
     unknown += [f"{path}.{name}".lstrip(".") for name in value if name not in fields]
     return {
-        name: _known(item, fields[name], f"{path}.{name}", unknown)
+        name: _copy_known_fields(item, fields[name], f"{path}.{name}", unknown)
         for name, item in value.items()
         if name in fields
     }
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -39,9 +39,9 @@
 # Seeds a random generator of its own: drawing from the policy's generator would change its decisions.
 ADMISSION_SEED_MASK = 0xD008
 SIGKILL_DELAY_S = 0.7  # SIGKILL comes no sooner than the longest deadline and this after SIGTERM
-ANSWER_MARGIN_S = 0.2  # all is answered this long before SIGKILL, as SIGTERM may be noticed late
+ANSWER_MARGIN_S = 0.2  # all is answered this long before SIGKILL, as SIGTERM may be handled late
 MIN_IDLE_S = 0.3  # idle this long, a connection is unlikely to have a request on its way
-READ_PERIOD_S = 0.1  # for requests on the connections accepted last
+READ_PERIOD_S = 0.1  # time for requests to arrive on the connections accepted last
 
 
 class Service:
@@ -55,7 +55,7 @@
         selector: TimedSelector | None = None,
         early_hangup: EarlyHangup | None = None,
     ) -> None:
-        """`selector`: of the event loop; without it, own lateness can't be told from the silence of hosts."""
+        """`selector`: of the event loop; without it, own lag can't be distinguished from silent hosts."""
         self.start_up, self.log, self.early_hangup, self.stop_requested = (
             start_up,
             log,
@@ -187,7 +187,7 @@
         if self.early_hangup is not None and self.early_hangup.received:
             self.reloader.on_hangup()
         gc.collect()
-        gc.freeze()  # objects that stay; each full collection of them paused the process for 4 ms
+        gc.freeze()  # long-lived objects: each full collection of them paused the process for 4 ms
         await self.stop_requested.wait()
         await self.end(listener)
         self.ignore_signals()
@@ -225,7 +225,7 @@
             self.start_up.listen, self.clients.accept_socket, inherited
         )
         listener.open()
-        # Changes count as received by a successor before it has asked for them, so it asks at once.
+        # Changes take effect for a successor even before its first call, so it calls at once.
         self.watch.start(at_once=self.handover is not None and self.handover.other_process)
         self.metrics.begin()
         if self.fleet_member is not None:
@@ -238,7 +238,7 @@
                 ) from None
         if self.start_up.agreed.list_on_request:
             self.announce_ready()
-        else:  # pushed changes are in effect already, also for hosts that left before this process started
+        else:  # pushed changes are in effect already: hosts may have left before this process started
             self.watch.on_contact = self.announce_ready
             self.timers.set(SILENCE_TIMEOUT, self.announce_ready)
         return listener
@@ -257,10 +257,10 @@
             **({"console": list(self.admin_listener.address)} if self.admin_listener else {}),
         )
 
-    def open_listener(self, address: tuple[str, int], take, inherited=None) -> Listener:
+    def open_listener(self, address: tuple[str, int], on_accept, inherited=None) -> Listener:
         """A listener on `address`; StartUpError if it can't be bound."""
         try:
-            return Listener(address, take, inherited, self.clients.rate_limited_log)
+            return Listener(address, on_accept, inherited, self.clients.rate_limited_log)
         except OSError as error:
             where = ":".join(map(str, address))
             raise StartUpError(f"cannot listen on {where}: {error.strerror}") from None
@@ -304,10 +304,10 @@
         self.close()
 
     async def drain_clients(self) -> None:
-        """Lets answers close their connections, so that clients reconnect to the next process.
+        """Closes each connection with its next response, so that clients reconnect to the next process.
 
-        Connections are closed only once idle for `MIN_IDLE_S`: a close could cross a request just sent, which
-        is likely for clients that send often.
+        Other connections are closed only once idle for `MIN_IDLE_S`: a close could cross a request just sent,
+        which is likely for clients that send often.
         """
         for _ in range(int((ACCEPT_AFTER_SIGTERM_S + READ_PERIOD_S) / READ_PERIOD_S)):
             if not self.clients.open_clients:
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -20,7 +20,7 @@
     discovery: tuple[str, int]
     seed: int
     sockets: int  # limit on file descriptors
-    max_body_bytes: int  # long request bodies held at a time
+    max_body_bytes: int  # of all long request bodies held at a time
     agreed: interface.PolicySettings
     profiles: dict[str, int]
     connect_timeout_s: float
@@ -29,11 +29,12 @@
     known_hosts: catalogue.HostList
     console: tuple[str, int] | None = None  # the second address, for operators
     inherited: str | None = None  # descriptor number of the clients' listening socket
-    folder: str | None = None  # shared by processes of this name; only with one of these two
+    folder: str | None = None  # shared by processes of this name; needs `console` or `inherited`
     fleet: object = None  # the decoded fleet file, if there is one
 
 
-# Memory if none is configured, memory of the program itself, share of the rest for bodies of requests.
+# The memory limit if none is configured; the part of it that the program itself needs; the share of the rest
+# that is for request bodies.
 DEFAULT_MEMORY_MB, PROGRAM_MEMORY_MB, BODY_MEMORY_SHARE = 64, 28, 0.7
 
 
--- a/basalthook/protocol/catalogue.py
+++ b/basalthook/protocol/catalogue.py
@@ -14,7 +14,7 @@
 
 
 class HostRecord(NamedTuple):
-    """One host of the list. It is stored by position at a hand-over, so the order of the fields is fixed."""
+    """One host of the list. It is stored by position at a handover, so the order of the fields is fixed."""
 
     id: str
     address: tuple[str, int]
--- a/basalthook/protocol/hosts.py
+++ b/basalthook/protocol/hosts.py
@@ -24,7 +24,7 @@
     return (head, body) if body else (head,)
 
 
-TRANSIENT_STATUSES = {408, 425, 429}  # 4xx statuses that concern the moment, not the message
+TRANSIENT_STATUSES = {408, 425, 429}  # 4xx statuses that may pass: the transaction itself is not at fault
 
 
 def classify_response(response: Message, written: bool) -> str:
@@ -37,7 +37,7 @@
     if response.status == 200:
         return interface.COMMITTED if written else interface.ERROR
     if written and 400 <= response.status < 500 and response.status not in TRANSIENT_STATUSES:
-        # a bad transaction: no fault of the host, and not to be tried at others
+        # the transaction is at fault, not the host: it must not be sent to another one
         return interface.DECLINED
 
     return interface.ERROR
--- a/basalthook/protocol/http1.py
+++ b/basalthook/protocol/http1.py
@@ -165,7 +165,7 @@
         end = unparsed.find(b"\r\n\r\n", max(0, self.scanned - 3))
         if end < 0 or end + 4 > MAX_HEAD_BYTES:
             if BARE_LINE_FEED.search(unparsed, max(0, self.scanned - 1)):
-                return self._reject(400, "bare line end")  # to its sender the head may have ended here
+                return self._reject(400, "bare line end")  # its sender may consider the head ended here
             self.scanned = len(unparsed)
             return self._reject(431, "head too long") if self.scanned > MAX_HEAD_BYTES or end >= 0 else False
         head = bytes(unparsed[: end + 2])
--- a/basalthook/recovery/admission.py
+++ b/basalthook/recovery/admission.py
@@ -1,7 +1,7 @@
 """Admission control: sheds a share of new transactions while this process itself can't keep up.
 
-A process that lags delays everything it serves: what it accepts waits its turn here, is sent late and
-answered late. So it must accept less, and shed the rest before it has spent much work on it. The signal is
+A process that lags delays everything it serves: what it accepts waits here, is sent late and is answered
+late. So it must accept less, and shed the rest before it has spent much work on it. The signal is
 how long arrivals lay unread, by the kernel's timestamps. A short stall raises it only briefly, permanent
 overload until less is accepted. The share that is shed grows with the mean of these waits, from none at
 `SHED_START` of the service goal to all at `SHED_FULL`. So it settles where the rest is served within its
--- a/basalthook/recovery/discovery_schedule.py
+++ b/basalthook/recovery/discovery_schedule.py
@@ -167,10 +167,10 @@
         default = self.hedge_delay(others)
         if overloaded or failed > GRACE_RETRIES:
             return default
-        soon = max(self._grace_backoff(failed), self._fleet_pacing(overloaded)) * (
+        retry_delay = max(self._grace_backoff(failed), self._fleet_pacing(overloaded)) * (
             0.5 + self.fleet_offset() / 2
         )
-        return min(default, max(MIN_RETRY_DELAY, int(soon)))
+        return min(default, max(MIN_RETRY_DELAY, int(retry_delay)))
 
     def _grace_backoff(self, failures: int) -> float:
         """Delay within `drain_grace`: the lost answer may have carried a change, which counts as received."""
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -1,6 +1,7 @@
-"""Attempts: a request sent to one host and the host's response, or how far the exchange got.
+"""Attempts: sending a transaction to one host and reading its response.
 
-How far it got alone decides whether the host may have run the transaction.
+Without a response, the stage that the exchange has reached is all that decides whether the host may have run
+the transaction.
 """
 
 from collections import Counter
@@ -24,7 +25,7 @@
 
 
 class Attempt:
-    """Driven by its connection and its timer; finishes exactly once."""
+    """One attempt, driven by events of its connection and its timer; finishes exactly once."""
 
     __slots__ = (
         "runner",
@@ -65,17 +66,17 @@
         self.connection: Connection | None = None  # while this attempt alone uses it
         self.stage, self.stop_outcome, self.reused, self.finished = Stage.UNTRIED, None, False, False
         self.response_parser: Parser | None = None
-        self.refusal: str | None = None  # why it was not begun
+        self.refusal: str | None = None  # why it was not sent
         self.timer = None
 
     def stop(self, outcome: str) -> None:
-        """Give up: the connection is closed in whatever state it is, and never reused."""
+        """End the attempt with this outcome; its connection is closed, not returned to the pool."""
         if not self.finished:
             self.stop_outcome = outcome
             self.finish(None)
 
     def expire(self) -> None:
-        """Time is up. A response that has arrived still counts: our own delay is not the host's fault."""
+        """The time limit has passed. A response that has arrived still counts: the delay may be ours."""
         if self.stage >= Stage.WRITTEN and self.connection is not None:
             self.connection.receive()
         self.stop(interface.TIMED_OUT)
@@ -100,7 +101,7 @@
 
     def send(self) -> None:
         runner, connection = self.runner, self.connection
-        # checked again right before the first byte: things may have changed since the attempt was decided
+        # checked again right before the first byte: conditions may have changed since the policy's decision
         refusal = runner.dispatcher.refusal(self.transaction, self.host)
         if refusal is not None:
             runner.refusal_counts[refusal] += 1
@@ -143,7 +144,7 @@
                 self.finish(result, unread_ns // TICK_NS)
             elif head is not None:
                 self.stream_response(head, unread_ns // TICK_NS)
-        except Exception as error:  # must not stop the event loop; the stage reached still counts
+        except Exception as error:  # must not reach the event loop; the stage reached still counts
             self.runner.log_event("fault", where="hop", error=repr(error))
             self.finish(ConnectionFailure(self.stage, repr(error)))
 
@@ -172,11 +173,11 @@
                 self.transaction, self.index, self.host, interface.COMMITTED, elapsed, unread, head, forwarder
             )
         )
-        if forwarder.client is None:  # no client has taken it over
+        if forwarder.client is None:  # the transaction was closed already, so no client has taken it over
             forwarder.stop()
 
     def release_connection(self) -> None:
-        """Return the connection to the pool; from here on, stopping this attempt must not close it."""
+        """Return the connection to the pool; from now on, stopping this attempt must not close it."""
         connection, self.connection = self.connection, None
         self.runner.pool.release(connection, self.entry.pool_key)
 
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -26,26 +26,28 @@
 # Longest time without progress on a request. It counts from connecting for the first request of a
 # connection, and from the first byte for the others.
 READ_TIMEOUT_S = 2.5
-SLOW_READ_S = 0.8  # when connections run short, a request without a new byte for so long counts as stopped
-MAX_IDLE_S = 2.0  # idle time of a connection while there are many
-MIN_PROGRESS_BYTES = 16 * 1024  # of a body, to restart the read timeout: 64 kB/s is a good client
+SLOW_READ_S = 0.8  # when connections run short, a request without a new byte for this long is closed first
+MAX_IDLE_S = 2.0  # of a connection, while there are more than `max_kept_alive_clients`
+MIN_PROGRESS_BYTES = 16 * 1024  # of a body, to restart the read timeout; a well-behaved client sends 64 kB/s
 MEMORY_TIMEOUT_S = 4.0  # longest wait of a long body for memory
 WRITE_TIMEOUT_S = 10.0  # longest time until a client has read its response
-LINGER_S = 1.0  # time for a rejected client to read the reason
-LINGER_MAX_BYTES = 1024 * 1024  # read from it meanwhile: a client that keeps sending must not cost more
-DRAIN_IDLE_DELAY_S = 0.4  # from a drain until idle connections are closed: new ones still come for 0.2 s
-DRAIN_NEW_DELAY_S = 1.0  # a connection without a first byte stays for so long while drained
+LINGER_S = 1.0  # time that a rejected client has to read the reason
+LINGER_MAX_BYTES = 1024 * 1024  # read from it meanwhile; bounds the cost of a client that keeps sending
+DRAIN_IDLE_DELAY_S = 0.4  # until idle connections are closed: clients still connect for 0.2 s
+DRAIN_NEW_DELAY_S = 1.0  # while drained, a connection without a first byte is closed after this time
 DRAIN_SWEEP_INTERVAL_S = 0.2
-MAX_LOG_LINES_PER_S = 20  # of each event on bad input and on responses that are no commit; more are counted
-# States of a connection: no byte yet; part of a request has arrived; rejected and closing; between two
-# requests; a request in hand; the next request has arrived as well.
+MAX_LOG_LINES_PER_S = 20  # of each event on bad input or a response that is no commit; others are counted
+# States of a connection.
+# NEW: no byte has arrived. READING: part of a request has arrived. LINGERING: the last response is written,
+# and the client has time to read it. IDLE: between two requests. BUSY: a request is being processed.
+# PIPELINED: bytes of the next request have arrived behind it.
 NEW, READING, LINGERING, IDLE, BUSY, PIPELINED = "new", "coming", "leaving", "idle", "busy", "ahead"
 NEVER = 2**63  # ticks; later than any time of the clock
 DEADLINE_SLACK_TICKS = 200  # a response that is later than this past its deadline is reported as a defect
 
 
 class Client:
-    """One connection; its state decides what its bytes mean and who may close it."""
+    """A connection from the application; its state decides how bytes are handled and if it may be closed."""
 
     __slots__ = (
         "clients",
@@ -74,7 +76,7 @@
             None,
             None,
             False,
-        )  # body: of a long request, as far as received
+        )  # body: the received part of a long one
         self.transaction: Transaction | None = None
         self.last_active = clients.clock.now()  # ticks; connected, read from, or answered
         self.keep_alive, self.continue_sent, self.linger_bytes = True, False, 0
@@ -89,14 +91,14 @@
     def on_data(self, data, unread_ns: int) -> None:
         """`unread_ns`: how long the data has waited in the kernel."""
         try:
-            if self.state in (BUSY, PIPELINED):  # its next request: read on once this one is answered
+            if self.state in (BUSY, PIPELINED):  # its next request: parsed once this one is answered
                 self.parser.unparsed += data
                 self.connection.pause_reading()
             elif self.state == LINGERING:
                 self.discard(len(data))
             else:
                 self.parse(data, unread_ns)
-        except Exception as error:  # costs this connection only
+        except Exception as error:  # must affect this connection only
             self.on_exception(error)
 
     def parse(self, data, unread_ns: int) -> None:
@@ -117,7 +119,7 @@
                 and (self not in self.clients.body_memory.waiting)
             ):
                 self.connection.start_reading(self.on_data, self.on_close)
-        except Exception as error:  # costs this connection only
+        except Exception as error:  # must affect this connection only
             self.on_exception(error)
 
     def on_exception(self, error: Exception) -> None:
@@ -178,7 +180,7 @@
         if memory.try_acquire(count):
             self.memory_held += count
             return True
-        self.state = BUSY  # the wait is ours: the client must not be closed as one that has stopped sending
+        self.state = BUSY  # this process makes it wait, so it must not be closed for having stopped sending
         self.connection.pause_reading()
         self.clients.timers.cancel(self.timer)
         self.timer = self.set_timer(MEMORY_TIMEOUT_S, self.on_memory_timeout)
@@ -194,11 +196,11 @@
             if self.parser.result is not None:
                 return self.process_input(0)
             self.connection.start_reading(self.on_data, self.on_close)
-        except Exception as error:  # costs this connection only, not the one that has freed the memory
+        except Exception as error:  # must affect this connection only, not the one that freed the memory
             self.on_exception(error)
 
     def on_memory_timeout(self) -> None:
-        """Roll back: nothing of the transaction has run."""
+        """Roll back, as no memory was granted in time; nothing of the transaction has run."""
         self.clients.rate_limited_log("no memory", held=self.clients.body_memory.in_use)
         self.clients.timers.cancel(self.timer)
         self.timer, self.keep_alive, self.state = None, False, BUSY
@@ -219,7 +221,7 @@
         self.reject(rejection)
 
     def release_memory(self) -> None:
-        """The body is no longer needed."""
+        """Drop the body and release its memory, or the request for memory."""
         held, self.memory_held, self.body, self.progress_mark = self.memory_held, 0, None, 0
         self.clients.body_memory.withdraw(self)
         if held:
@@ -260,7 +262,7 @@
         clients.dispatcher.post(RequestReceived(transaction))
 
     def finish_transaction(self) -> Transaction:
-        """The transaction in hand has its response, or its client is gone."""
+        """Clean up after the present transaction, which has its response or lost its client; return it."""
         transaction, self.transaction = self.transaction, None
         self.release_memory()
         self.clients.open_ids.discard(transaction.request.id)
@@ -269,7 +271,7 @@
         return transaction
 
     def respond(self, response: Response) -> None:
-        if self.transaction is None:  # the client has gone, which the dispatcher is about to learn
+        if self.transaction is None:  # the client has gone; ClientDisconnected is in the dispatcher's queue
             return
         try:
             clients, transaction = self.clients, self.finish_transaction()
@@ -288,7 +290,7 @@
             if response.forwarder is not None:
                 return self.stream_response(response, transaction)
             self.write(clients.encode_response(response, transaction, self.keep_alive))
-        except Exception as error:  # costs this connection only
+        except Exception as error:  # must affect this connection only
             self.on_exception(error)
 
     def stream_response(self, response: Response, transaction: Transaction) -> None:
@@ -311,19 +313,21 @@
             application.encode_chunk(data) if self.chunked else (data,), self.forwarder.resume
         )
 
-    def forwarding_finished(self, whole: bool) -> None:
-        """The long response is complete; or it broke off, and the connection is reset to show that."""
+    def forwarding_finished(self, complete: bool) -> None:
+        """The long response is complete, or it broke off: then the connection is reset, to show that."""
         self.forwarder = None
         if self.connection.closed:
             return self.clients.close_client(self)
-        if not whole:
+        if not complete:
             self.clients.rate_limited_log("cut short")
             self.connection.reset_on_close()
             return self.clients.close_client(self)
         self.write((application.LAST_CHUNK,) if self.chunked else ())
 
     def on_deadline_missed(self) -> None:
-        self.clients.dispatcher.post(DeadlineMissed(self.transaction))  # the response may be queued before it
+        self.clients.dispatcher.post(
+            DeadlineMissed(self.transaction)
+        )  # a response may be ahead of it in the queue
 
     def write(self, parts: tuple[bytes, ...]) -> None:
         """Write a response; then go on to the next request, or close."""
@@ -333,7 +337,7 @@
             self.timer = self.set_timer(WRITE_TIMEOUT_S, self.on_write_timeout)
 
     def on_write_timeout(self) -> None:
-        self.on_close(None)  # the client does not read, so it can't be told why
+        self.on_close(None)  # the client does not read, so it can't be sent a reason
 
     def on_written(self) -> None:
         self.clients.timers.cancel(self.timer)
@@ -350,7 +354,9 @@
         self.continue_sent, self.state = False, PIPELINED if self.parser.unparsed else IDLE
         self.clients.mark_idle(self)
         if self.state == PIPELINED or self.connection.paused:
-            self.clients.timers.set(0, self.read_next)  # not called here: many pipelined requests would nest
+            self.clients.timers.set(
+                0, self.read_next
+            )  # not called directly: many pipelined requests would nest too deep
 
     def reject(self, rejection: Rejection) -> None:
         """Reject bad input, and give the client time to read the reason before the connection closes."""
@@ -379,7 +385,7 @@
             self.timer = self.set_timer(LINGER_S, self.on_write_timeout)
 
     def on_timeout(self) -> None:
-        """Close a connection whose client stopped within a request or never began one, and would hold it."""
+        """Close a connection whose client has stopped within a request, or has not begun one in time."""
         if self.state == READING:
             self.connection.write((application.text_response(408, "stopped half-way", False),))
         self.clients.close_client(self)
@@ -403,7 +409,10 @@
             self.clients.dispatcher.post(ClientDisconnected(transaction))
 
     def check_gone(self) -> bool:
-        """Whether the client has gone. While reading is paused, unread bytes hide the connection's end."""
+        """Whether the client has gone, which ends its transaction.
+
+        Asks the kernel, as unread bytes hide the end of a connection while reading is paused.
+        """
         if self.connection.peer_closed():
             self.on_close(None)
             return True
@@ -432,7 +441,7 @@
         self.profiles, self.body_memory, self.log_event = profiles, body_memory, log_event
         self.buffers, self.descriptors = buffers, descriptors
         descriptors.reclaimers.append(lambda: self.close_idle(1))
-        self.response_deadline = NEVER  # ticks; set when this process ends: by then all must be answered
+        self.response_deadline = NEVER  # ticks; set at shutdown: all must be answered by then
         self.ready, self.max_retry_after = False, dispatcher.settings.max_retry_after
         self.drain_timer = None  # of the next sweep, while drained by an operator
         self.sweep_scheduled = False
@@ -444,9 +453,9 @@
         self.all_closed: asyncio.Future | None = None
 
     def accept_socket(self, sock) -> bool:
-        """Take an accepted connection, which may carry a request already; returns whether one more has room.
+        """Serve an accepted connection, which may carry a request; return whether there is room for more.
 
-        At the limit idle connections are closed for it, those to hosts first.
+        At the limit, idle connections are closed to make room, those to hosts first.
         """
         try:
             connection = Connection(sock, self.buffers, self.descriptors)
@@ -481,7 +490,7 @@
     def close_idle(self, max_count: int | None = None, states: tuple = (IDLE,), min_idle: float = 0.0) -> int:
         """Close connections in these states, longest idle first, unless they have bytes to read.
 
-        `max_count`: no more than so many; `min_idle`: only those idle for so many seconds. Returns the number
+        `max_count`: no more than this; `min_idle`: only those idle for this many seconds. Returns the number
         closed.
         """
         idle, idle_since = [], self.clock.now() - int(min_idle * TICKS_PER_SECOND)
@@ -508,7 +517,7 @@
             self.timers.set(int(MAX_IDLE_S * TICKS_PER_SECOND), self.close_excess_idle)
 
     def close_excess_idle(self) -> None:
-        """Close idle connections above the comfortable number.
+        """Close idle connections above `max_kept_alive_clients`.
 
         Clients that send one request and stay connected would otherwise lock others out.
         """
@@ -537,8 +546,9 @@
     def set_drained(self, drained: bool) -> None:
         """Send clients away, or accept them again.
 
-        While drained, each response closes its connection. Idle connections are closed a little later, but
-        soon enough that a request they may still bring is not in hand for long.
+        While drained, each response closes its connection. Idle connections are closed after
+        `DRAIN_IDLE_DELAY_S`, when clients no longer connect to this process; a request that arrived on one
+        much later would prolong the drain.
         """
         self.timers.cancel(self.drain_timer)
         self.drain_timer = (
@@ -576,7 +586,7 @@
             self.all_closed.cancelled() or self.all_closed.done() or self.all_closed.set_result(None)
 
     async def wait_until_closed(self, seconds: float) -> None:
-        """Wait until every transaction has been answered and its connection closed, at most for so long."""
+        """Wait until every transaction is answered and its connection closed, `seconds` at most."""
         if self.open_clients:
             self.all_closed = asyncio.get_running_loop().create_future()
             await asyncio.wait({self.all_closed}, timeout=seconds)
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: the only holder of the routing policy, reached through one ordered queue."""
+"""The dispatcher: owns the routing policy and passes it events from one ordered queue."""
 
 from collections import deque
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 from .clock import TICK_NS, Clock
 from .host_registry import HostRegistry
 
-MAX_LOGGED_IDS = 16  # hosts that a log line names for each kind of change
+MAX_LOGGED_IDS = 16  # host ids in a log line, for each kind of change
 MAX_TIMER_DELAY_TICKS = 50  # a timer that is later than this runs between two queued items
 
 
@@ -24,7 +24,7 @@
     message: Message | None = None
     retry_after: int = 0  # ticks; 0: no advice
     forwarder: object = None  # streams the rest of a long response from the host
-    reason: str = ""  # why it does not come from a host
+    reason: str = ""  # why no host responded
 
 
 class Transaction:
@@ -87,7 +87,7 @@
     host: int
     outcome: str
     elapsed: int  # ticks, without `unread`
-    unread: int  # ticks that the host's response waited here before it was read
+    unread: int  # ticks that the host's response waited in this process before it was read
     message: Message | None
     forwarder: object = None
 
@@ -146,7 +146,7 @@
         self.begin_attempt = None  # AttemptRunner.begin, set when the program is assembled
 
     def start(self, known_hosts: HostList) -> None:
-        """Pass on the list that is known at start-up."""
+        """Pass the host list that is known at start-up to the policy."""
         self.handle_event(self.registry.apply_host_list(known_hosts, from_discovery=False))
 
     def post(self, item) -> None:
@@ -171,7 +171,7 @@
             self.process_queue()
 
     def run_guarded(self, work, item) -> None:
-        """An exception in one item must not stop the service for all other transactions."""
+        """Handle one item and log its exception, if any: other transactions must not be affected by it."""
         try:
             work(item)
         except Exception as error:
@@ -182,7 +182,7 @@
         self.apply_effects(self.event_handler.handle(now, event, self.received_until(now)))
 
     def received_until(self, now: int) -> int:
-        """All input that arrived until then has been handled; silence since may be our own delay."""
+        """The time up to which all input has been read; silence after it may be this process's own delay."""
         return now - self.read_lag_ns() // TICK_NS
 
     # ---- queued items
--- a/basalthook/routing/host_registry.py
+++ b/basalthook/routing/host_registry.py
@@ -10,7 +10,7 @@
 
 
 class RegistryEntry(NamedTuple):
-    """What this proxy knows of a host."""
+    """A host in the registry."""
 
     id: str
     address: tuple[str, int]
@@ -42,7 +42,7 @@
         self.open_attempts: dict[int, int] = {}  # host number -> number of open attempts, if any
         self.next_number = 0
         self.overrides = OperatorOverrides()  # take precedence over every list
-        self.changes: dict[str, list[str]] = {}  # by the newest list: kind of change -> ids of hosts
+        self.changes: dict[str, list[str]] = {}  # made by the newest list: kind of change -> host ids
         self.on_host_left = lambda pool_key: None  # called with the pool key of a host that has left
 
     def apply_host_list(self, host_list: HostList, from_discovery: bool) -> interface.HostListReceived:
@@ -70,14 +70,14 @@
         )
         for number in numbers:
             if self.overrides.is_disabled(self.entries[number].id):
-                self.on_host_left(self.entries[number].pool_key)  # it is about to be restarted
+                self.on_host_left(self.entries[number].pool_key)  # the host is about to be restarted
         return event
 
     def is_known(self, host: str) -> bool:
         return host in self.numbers_by_id
 
     def drop_unheld(self, held) -> None:
-        """Remove ready hosts that the policy no longer holds: they were left out of a list."""
+        """Remove ready hosts that are not in `held`, the policy's hosts: they were left out of a list."""
         self._drop([n for n, entry in self.entries.items() if entry.ready and n not in held])
 
     def _drop(self, numbers) -> None:
@@ -147,6 +147,6 @@
         self.changes.setdefault(change, []).append(host_id)
 
     def _forget(self, number: int) -> None:
-        """Remove a host without open attempts. If it returns it is a new one, also to the policy."""
+        """Remove a host that has no open attempt. If it returns, it is a new host, also to the policy."""
         if number not in self.open_attempts and not self.entries[number].ready:
             del self.numbers_by_id[self.entries.pop(number).id]
--- a/basalthook/routing/operator_calls.py
+++ b/basalthook/routing/operator_calls.py
@@ -11,7 +11,7 @@
 
 
 class OperatorCallHandler:
-    """Carries out operator calls; a reply of success means that the change is in force in this process."""
+    """Carries out operator calls; success means that the change is in effect in this process."""
 
     def __init__(
         self, dispatcher: Dispatcher, registry: HostRegistry, clients: Clients, clock: Clock, log_event
@@ -83,7 +83,7 @@
         return self.reply_after_saving("clients are sent away" if drained else "back to work")
 
     def reply_after_saving(self, text: str) -> AdminResponse:
-        """Store the overrides; the reply says if that failed."""
+        """Store the overrides; the response says if that failed."""
         error = self.save_overrides(self.registry.overrides)
         if error:
             self.log_event("orders not kept", reason=error)
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -15,7 +15,7 @@
 # Pause after an answer without a newer version, so that a discovery which answers at once isn't called in a
 # tight loop. Discovery keeps a watch open if the next call comes within 0.2 s.
 UNCHANGED_PAUSE_S = 0.1
-CHANGED_PAUSE_S = 0.005  # after a newer version, which may be followed by newer ones without end
+CHANGED_PAUSE_S = 0.005  # after a newer version; a discovery may have a newer one at every call
 
 
 class Watch:
@@ -42,7 +42,7 @@
         self.timers = timers
         self.calls: list[asyncio.Task] = []  # newest last, at most MAX_PARALLEL_CALLS; removed as they fail
         self.retry_timer = None  # of the next call, while no call is open
-        # whether the complete list must come first, as versions may be numbered differently now
+        # the complete list must come first, as discovery may number its versions differently now
         self.needs_full_list = False
         self.failure_reasons: list[str] = []  # of the calls that have failed since the last answer
         self.calls_started = 0  # since the process started; numbers the calls in the log
@@ -54,7 +54,7 @@
         return (self.timers.now() - self.answered_at) / self.timers.ticks_per_second
 
     def start(self, at_once: bool = False) -> None:
-        """`at_once`: make the first call without delay, for the changes that discovery has already."""
+        """`at_once`: make the first call without delay, to get the changes that discovery has already."""
         if not self.calls and self.retry_timer is None:
             self.schedule.on_start()
             delay = 0 if at_once else self.schedule.initial_delay()
@@ -89,7 +89,7 @@
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
-        """Open one more connection. `at_once`: its first call asks for present changes, without a wait."""
+        """Open one more connection. `at_once`: its first call requests present changes, without a wait."""
         self.retry_timer = None
         call = asyncio.get_running_loop().create_task(self.run(at_once))
         self.calls.append(call)
@@ -97,7 +97,7 @@
     def add_call(self, call: asyncio.Task) -> None:
         """Open a call beside one that is silent.
 
-        A change that discovery has published counts from a fixed time on, even if the answer with it was
+        A change that discovery has published takes effect at a fixed time, even if the answer with it was
         lost.
         """
         if self.calls and self.calls[-1] is call and len(self.calls) < MAX_PARALLEL_CALLS:
@@ -143,7 +143,7 @@
             return connection.reason
         try:
             return await self.follow(connection, task, at_once)
-        except Exception as error:  # costs this connection only, not the watch
+        except Exception as error:  # must affect this connection only, not the watch
             return repr(error)
         finally:
             connection.close()
@@ -182,7 +182,7 @@
                 return ""
 
     async def take_answer(self, host_list: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
-        """Take the first answer of any call; its connection continues the watch, the others are cancelled."""
+        """Use the first answer to any call: its connection continues the watch, other calls are cancelled."""
         others = [call for call in self.calls if call is not task]
         for call in others:
             call.cancel()
--- a/basalthook/simwire/__init__.py
+++ b/basalthook/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator's wire protocol: a codec and a process loop. It makes no decisions."""
+"""The adapter to the simulator's wire protocol: a codec and a process loop. It makes no routing decisions."""
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -30,7 +30,7 @@
         )
         self.profiles = terms.profile_indices(setup)
         # address -> index; grows with every host ever listed, until a restart
-        self.hosts: dict[str, int] = {}
+        self.host_indices: dict[str, int] = {}
         self.addresses: list[str] = []
         self.host_hashes: list[int] = []  # by index; hashed once, as lists arrive often
         self.host_by_hash: dict[int, int] = {}  # messages between proxies name hosts by hash
@@ -41,9 +41,9 @@
 
     def host_index(self, address: str) -> int:
         """Return the index of a host, assigning one if it is new."""
-        index = self.hosts.get(address)
+        index = self.host_indices.get(address)
         if index is None:
-            index = self.hosts[address] = len(self.addresses)
+            index = self.host_indices[address] = len(self.addresses)
             self.addresses.append(address)
             self.host_hashes.append(terms.stable_number(address))
             self.host_by_hash[self.host_hashes[index]] = index
@@ -79,7 +79,7 @@
             del self.tx_numbers[entry[0]]
 
     def decode_event(self, name: str, fields: dict, lists: dict) -> tuple | None:
-        """Return the event that a wire event stands for, or None if it concerns what is closed here already.
+        """Return the event for a wire event, or None if it needs no handling, as for closed transactions.
 
         Raises ValueError for an unknown name.
         """
--- a/basalthook/transport/listener.py
+++ b/basalthook/transport/listener.py
@@ -18,7 +18,7 @@
 BIND_ATTEMPTS = 40  # 2 s in all
 MAX_CLOSE_FAILURES = 64  # consecutive failures while the backlog is emptied at the end
 CLOSE_RETRY_DELAY_S = 0.001  # after each of these failures
-# errors of accept(2) that concern one pending connection; the next one may be sound
+# errors of accept(2) that concern one pending connection; others may be accepted
 CONNECTION_ERRORS = {
     errno.ECONNABORTED,
     errno.EPROTO,
--- a/basalthook/transport/timers.py
+++ b/basalthook/transport/timers.py
@@ -17,7 +17,7 @@
         """`call_later(seconds, callback)` returns a handle with `cancel()`; by default the loop's own."""
         self.now, self.ticks_per_second = now, ticks_per_second
         self.call_later = call_later or (lambda *args: asyncio.get_running_loop().call_later(*args))
-        # due time in ticks, sequence, callback (None: over or cancelled), arguments
+        # due time in ticks, sequence, callback (None: called or cancelled), arguments
         self.heap: list[list] = []
         self.sequence = self.cancelled = 0
         self.wakeup_handle: asyncio.TimerHandle | None = None
@@ -33,7 +33,7 @@
         return entry
 
     def cancel(self, entry: list | None) -> None:
-        """Cancel an entry; no effect on None, or if it is over or cancelled already."""
+        """Cancel an entry; no effect on None, or if it was called or cancelled already."""
         if entry is not None and entry[2] is not None:
             entry[2], entry[3] = None, ()
             self.cancelled += 1
@@ -73,6 +73,6 @@
             self.run()
         finally:
             # A callback may have set a wake-up that is later than the earliest remaining entry. Entries then
-            # waited for it, and answers came up to 0.5 s after their hard limit.
+            # waited for it, and responses were up to 0.5 s later than their hard limit.
             if self.heap and (self.wakeup_handle is None or self.heap[0][0] < self.wakeup_at):
                 self._schedule_wakeup(self.heap[0][0])
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -60,7 +60,7 @@
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
         self.assertEqual(self.unhandled, [])
 
-    def set_settle_time(self, seconds):
+    def set_reuse_delay(self, seconds):
         """Set how long a pooled connection to a host is left unused after a response."""
         patch = unittest.mock.patch("basalthook.transport.hostpool.REUSE_DELAY_S", seconds)
         patch.start()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -46,7 +46,7 @@
 
     async def test_long_responses_of_every_framing_arrive_complete_and_connections_are_reused(self):
         caller = await self.start_proxy(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for _ in range(4):
             caller.ask("submit")
             head, body, whole = await self.read_response(caller)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -31,14 +31,15 @@
         """The first attempt is reset after its request; the second one's connection is established late."""
         profile = {**SCAN, "repeat_window_ns": int(window * 1e9)}
         caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
-        fresh, connecting = self.service.pool.open_connection, asyncio.Event()
+        open_connection, connecting = self.service.pool.open_connection, asyncio.Event()
 
-        def connect_late(address, up):
+        def connect_late(address, on_connected):
             if not self.hosts[0].got.qsize() + self.hosts[1].got.qsize():
-                return fresh(address, up)
+                return open_connection(address, on_connected)
             connecting.set()
-            return fresh(
-                address, lambda failure: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, up, failure)
+            return open_connection(
+                address,
+                lambda failure: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, on_connected, failure),
             )
 
         self.service.pool.open_connection = connect_late
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -99,15 +99,15 @@
             ):
                 with self.assertRaises(InheritedSocketError, msg=(descriptor, where)):
                     open_inherited(descriptor, where)
-            ours = open_inherited(str(server.fileno()), address)
-            self.assertEqual((ours.getsockname(), ours.getblocking()), (address, False))
-            ours.detach()
+            opened = open_inherited(str(server.fileno()), address)
+            self.assertEqual((opened.getsockname(), opened.getblocking()), (address, False))
+            opened.detach()
 
 
 class PolicyState(unittest.TestCase):
     """The policy state of a proxy as restored in its successor."""
 
-    def upgraded(self, stage, hosts, wait=0):
+    def make_successor(self, stage, hosts, wait=0):
         """A new proxy with the same hosts and the old one's state, passed on as JSON."""
         ids = {h.line.host_id: f"s-{h.line.host_id}" for h in hosts}
         state = json.loads(json.dumps(policy_state.export_state(stage.proxy, ids, NAMES)))
@@ -122,12 +122,12 @@
         hosts = [FakeHost(0, outcome=interface.UNREACHABLE), FakeHost(1)]
         stage = Stage(hosts)
         stage.many(10)
-        new, restored = self.upgraded(stage, hosts)
+        new, restored = self.make_successor(stage, hosts)
         self.assertEqual(restored, 2)
-        got = len(hosts[0].got)
+        attempts_before = len(hosts[0].got)
         new.many(5)
-        self.assertEqual(len(hosts[0].got), got)
-        later, _ = self.upgraded(stage, hosts, wait=200_000)
+        self.assertEqual(len(hosts[0].got), attempts_before)
+        later, _ = self.make_successor(stage, hosts, wait=200_000)
         self.assertFalse(later.proxy.excluded(later.proxy.hosts[0], "ban"))
 
     def test_a_cold_host_keeps_its_age_and_sent_times_and_a_restarted_one_is_new(self):
@@ -135,12 +135,12 @@
         stage = Stage(hosts)
         stage.many(60)
         old = stage.proxy.hosts[1]
-        new, _ = self.upgraded(stage, hosts)
+        new, _ = self.make_successor(stage, hosts)
         host = new.proxy.hosts[1]
         self.assertEqual((host.cold_since, list(host.sent.times)), (old.cold_since, list(old.sent.times)))
         self.assertEqual(new.proxy.commit_rate, stage.proxy.commit_rate)
         hosts[1].line = hosts[1].line._replace(started_at=stage.now)
-        again, restored = self.upgraded(stage, hosts)
+        again, restored = self.make_successor(stage, hosts)
         self.assertEqual((restored, again.proxy.hosts[1].cold_since), (1, stage.now))
         self.assertFalse(again.proxy.hosts[1].sent.times)
 
@@ -149,8 +149,8 @@
         stage = Stage(hosts)
         stage.many(5)
         stage.proxy.slowdown = 3.0
-        self.assertEqual(self.upgraded(stage, hosts)[0].proxy.slowdown, 3.0)
-        self.assertEqual(self.upgraded(stage, hosts, wait=30_000)[0].proxy.slowdown, 2.0)
+        self.assertEqual(self.make_successor(stage, hosts)[0].proxy.slowdown, 3.0)
+        self.assertEqual(self.make_successor(stage, hosts, wait=30_000)[0].proxy.slowdown, 2.0)
 
     def test_invalid_state_raises_a_documented_error(self):
         hosts = [FakeHost(0)]
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""A process that lags: it blames no host for its own lag, and accepts no more than it can serve."""
+"""A process that lags must not blame hosts for it, and must accept no more than it can serve."""
 
 import asyncio
 import socket
@@ -34,7 +34,7 @@
 
     def test_at_twice_the_capacity_what_is_accepted_is_served_in_time(self):
         """One worker, arrivals at twice its rate; shedding costs a tenth of a transaction."""
-        control, random_source, free, waits, admitted_count = (
+        control, random_source, worker_free_at, waits, admitted_count = (
             AdmissionControl(GOAL, Random(1)),
             Random(2),
             0.0,
@@ -44,12 +44,12 @@
         now = 0.0
         for n in range(40_000):
             now += random_source.expovariate(1 / 2.0)
-            free = max(free, now)
-            admitted = control.admit(int(free), int(free - now))
-            free += 4.0 if admitted else 0.4
+            worker_free_at = max(worker_free_at, now)
+            admitted = control.admit(int(worker_free_at), int(worker_free_at - now))
+            worker_free_at += 4.0 if admitted else 0.4
             if n > 20_000:
                 admitted_count += admitted
-                waits.append(free - now if admitted else 0)
+                waits.append(worker_free_at - now if admitted else 0)
         self.assertLess(sorted(waits)[len(waits) * 99 // 100], GOAL)
         self.assertGreater(admitted_count / 20_000, 0.4)  # of the 45 % that the worker could serve
 
@@ -65,9 +65,9 @@
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.integers(0, 100_000)), max_size=200))
     def test_shed_shares_and_retry_times_stay_in_their_bounds(self, arrivals):
         control, now = AdmissionControl(GOAL, Random(1)), 0
-        for gap, waited in arrivals:
+        for gap, wait in arrivals:
             now += gap
-            control.admit(now, waited)
+            control.admit(now, wait)
             self.assertTrue(0 <= control.mean_wait <= GOAL and 0 <= control.shed_share() <= 1)
             self.assertTrue(GOAL / 2 <= control.retry_after() <= 6 * GOAL)
         self.assertLess(SHED_START, SHED_FULL)
@@ -78,7 +78,10 @@
         return Stage([FakeHost(n) for n in range(2)], proxies=1, **terms)
 
     def test_an_attempt_overtaken_by_later_ones_takes_no_capacity_and_signals_no_overload(self):
-        """Five such attempts were always pending, so hosts that answered all others got no more (G 0.55)."""
+        """Five such attempts were always pending, so hosts that answered all others got no more work.
+
+        The score G fell to 0.55.
+        """
         stage = self.stage(elapsed=20)
         stage.many(50)
         stage.turn(None)
@@ -106,7 +109,7 @@
         self.assertTrue(any(stage.proxy.excluded(s, "ban") for s in stage.proxy.hosts.values()))
 
     def test_silence_during_own_lag_does_not_count(self):
-        """While answers lay unread, every host looked silent."""
+        """Responses waited unread in this process, and every host was taken for silent."""
         stage = self.stage()
         stage.many(20)
         stage.turn(None)
@@ -139,14 +142,14 @@
 
     async def test_unread_bytes_report_how_long_they_waited(self):
         if timestamps.TIMESTAMP_OPTION is None:
-            self.skipTest("this system has no arrival time stamps")
+            self.skipTest("this system has no receive timestamps")
         with socket.create_server(("127.0.0.1", 0)) as server:
             timestamps.enable(server)
             peer = socket.create_connection(server.getsockname())
             accepted, _ = server.accept()
         connection, waits = Connection(accepted, BufferPool(64, 8), DescriptorBudget(64)), []
         connection.start_reading(lambda part, late: waits.append(late), None)
-        await asyncio.sleep(0.05)  # time stamps start a moment after they are requested
+        await asyncio.sleep(0.05)  # timestamps start a moment after they are requested
         for pause in (0, 0.05):
             peer.send(b"x")
             time.sleep(pause)
@@ -190,7 +193,7 @@
     """The whole proxy on an event loop that is blocked for a while."""
 
     def setUp(self):
-        """The system starts its time stamps a moment after the first socket that requests them."""
+        """The kernel starts timestamping a moment after the first socket requests it."""
         sock = socket.socket()
         self.addCleanup(sock.close)
         timestamps.enable(sock)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -25,7 +25,7 @@
 
     async def test_a_commit_passes_the_body_on_and_reuses_the_connections(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for _ in range(3):
             caller.ask("submit", body=b"x" * 60_000)
             status, body, _ = await caller.answer()
@@ -115,17 +115,17 @@
             self.assertEqual((await caller.answer())[1], b"done")
         self.assertEqual(len(self.hosts[0].writers), 2)
 
-    async def test_a_connection_rests_before_its_next_attempt(self):
+    async def test_a_connection_is_left_unused_for_a_while_after_a_response(self):
         """Bytes that arrived just after a response were taken for the response to the next transaction."""
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(60)
+        self.set_reuse_delay(60)
         for connections in (1, 2):
             self.assertEqual(await caller.outcome(), 200)
             self.assertEqual(len(self.hosts[0].writers), connections)
 
     async def test_a_new_host_at_an_old_address_inherits_no_connection(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         self.assertEqual(await caller.outcome(), 200)
         self.discovery.tell(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
         await self.wait_until(lambda: self.service.dispatcher.registry.is_ready(1))
@@ -152,15 +152,15 @@
     async def test_nothing_is_sent_for_a_transaction_closed_while_its_connection_was_being_made(self):
         host = SocketHost()
         caller = await self.start_proxy(host)
-        fresh = self.service.pool.open_connection
+        open_connection = self.service.pool.open_connection
 
-        def close_meanwhile(address, up):
+        def close_meanwhile(address, on_connected):
             def connected(failure):
                 (transaction,) = self.service.dispatcher.transactions.values()
                 transaction.closed = True
-                up(failure)
+                on_connected(failure)
 
-            return fresh(address, connected)
+            return open_connection(address, connected)
 
         self.service.pool.open_connection = close_meanwhile
         caller.ask("submit")
@@ -208,12 +208,12 @@
     async def test_a_connection_reset_while_connecting_does_not_count_as_refused(self):
         peer = socket.create_server(("127.0.0.1", 0))
         connection = Connection.for_address(peer.getsockname(), BufferPool(64, 8), DescriptorBudget(64))
-        coming = asyncio.get_running_loop().create_future()
-        connection.connect(peer.getsockname(), coming.set_result)
+        connect_result = asyncio.get_running_loop().create_future()
+        connection.connect(peer.getsockname(), connect_result.set_result)
         accepted, _ = peer.accept()
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         accepted.close()
-        self.assertEqual((await coming).stage, Stage.WRITING)
+        self.assertEqual((await connect_result).stage, Stage.WRITING)
         peer.close()
 
     async def test_an_attempt_decided_too_late_ends_as_unsent(self):
@@ -264,7 +264,7 @@
         self.assertEqual(len(self.service.pool.idle_connections), 1)
 
     async def test_many_clients_that_stop_within_a_head_do_not_lock_others_out(self):
-        """They held all connections for 2.5 s, and others waited to be accepted; the score G fell to 0.37."""
+        """They held all connections for 2.5 s while others waited; the score G fell to 0.37."""
         caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
         self.assertEqual(await caller.outcome(), 200)
         stalled = []
@@ -332,7 +332,7 @@
 
     async def test_pipelined_requests_are_answered_in_order_one_at_a_time(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for n in range(40):
             caller.ask("submit" if n % 3 else "view", body=b"%d" % n, key=f"k{n}")
         for _ in range(40):
@@ -524,14 +524,14 @@
 
     async def test_a_buffer_is_returned_after_each_read_and_when_the_connection_ends(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
-            theirs = socket.create_connection(server.getsockname())
-            ours, _ = server.accept()
+            peer = socket.create_connection(server.getsockname())
+            accepted, _ = server.accept()
         pool, descriptors, seen = BufferPool(64, 8), DescriptorBudget(64), []
-        connection = Connection(ours, pool, descriptors)
+        connection = Connection(accepted, pool, descriptors)
         connection.start_reading(lambda part, late: seen.append((bytes(part), len(pool.free))), seen.append)
-        theirs.send(b"x" * 100)
+        peer.send(b"x" * 100)
         await self.wait_until(lambda: len(seen) == 2)
         self.assertEqual(seen, [(b"x" * 64, 0), (b"x" * 36, 0)])
-        theirs.close()
+        peer.close()
         await self.wait_until(lambda: len(seen) == 3)
         self.assertEqual((len(pool.free), descriptors.in_use, seen[2].stage), (1, 0, Stage.WRITTEN))
