--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -76,7 +76,7 @@
         self.client.forwarding_finished(complete)
 
     def stop(self) -> None:
-        """Stop forwarding: the client has gone, or one side has stalled."""
+        """Stop forwarding, as the client has gone or one side has stalled."""
         if not self.ended:
             self._mark_ended()
             self.connection.close()
--- a/basalthook/handover/handover.py
+++ b/basalthook/handover/handover.py
@@ -255,7 +255,7 @@
 
     def log_error(self, reason: str) -> None:
         """Logs the reason, unless it is the same as the last one."""
-        if reason != self.last_error:  # the poll would log it ten times a second
+        if reason != self.last_error:  # the poll would repeat it ten times a second
             self.last_error = reason
             self.log_event("handover", reason=reason)
 
--- a/basalthook/program/fleet_commands.py
+++ b/basalthook/program/fleet_commands.py
@@ -20,7 +20,7 @@
 
 
 def fetch_rows(address: str, seconds: float, action: str) -> list[dict]:
-    """The rows that the process returns at its second address; exits with code 1 if there is no answer."""
+    """The rows that the process returns at its admin address; exits with code 1 if there is no response."""
     method, path = admin_api.request_line(action)
     try:
         host_name, port = catalogue.parse_address(address)
--- a/basalthook/program/operator_commands.py
+++ b/basalthook/program/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators; each is one call to the second address of a running client proxy."""
+"""Commands for operators; each is one call to the admin address of a running client proxy."""
 
 import http.client
 import sys
@@ -23,7 +23,7 @@
 
 
 def send_request(address: str, seconds: float, method: str, path: str) -> NoReturn:
-    """Prints the answer. Exit code 0: success; 1: refused or no answer."""
+    """Prints the response. Exit code 0: success; 1: refused or no response."""
     try:
         host_name, port = catalogue.parse_address(address)
         connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
--- a/basalthook/program/service.py
+++ b/basalthook/program/service.py
@@ -38,7 +38,7 @@
 AT_START_ONLY = ("listen", "console", "inherited", "folder", "agreed", "profiles", "fleet")
 # Seeds a random generator of its own: drawing from the policy's generator would change its decisions.
 ADMISSION_SEED_MASK = 0xD008
-SIGKILL_DELAY_S = 0.7  # SIGKILL comes no sooner than the longest deadline and this after SIGTERM
+SIGKILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM no sooner than the longest hard limit plus this
 ANSWER_MARGIN_S = 0.2  # all is answered this long before SIGKILL, as SIGTERM may be handled late
 MIN_IDLE_S = 0.3  # idle this long, a connection is unlikely to have a request on its way
 READ_PERIOD_S = 0.1  # time for requests to arrive on the connections accepted last
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -27,7 +27,7 @@
     idle_timeout_s: float
     max_hard_limit_s: float  # the longest hard limit of all profiles
     known_hosts: catalogue.HostList
-    console: tuple[str, int] | None = None  # the second address, for operators
+    console: tuple[str, int] | None = None  # the admin address
     inherited: str | None = None  # descriptor number of the clients' listening socket
     folder: str | None = None  # shared by processes of this name; needs `console` or `inherited`
     fleet: object = None  # the decoded fleet file, if there is one
--- a/basalthook/recovery/discovery_schedule.py
+++ b/basalthook/recovery/discovery_schedule.py
@@ -44,7 +44,7 @@
 from ..policy import interface
 
 # Times are in ticks of 0.1 ms.
-SILENCE_TIMEOUT = 20_000  # after the wait of a call; from then on its changes count as received
+SILENCE_TIMEOUT = 20_000  # after the wait of a call; its changes take effect then, received or not
 MAX_WATCH_WAIT = 600_000  # discovery holds a watch no longer; a longer wait would detect silence too late
 MAX_INITIAL_DELAY = 35_000  # before the first call of a new process: a second one must fit within 6 s
 INITIAL_WATCH_WAIT = 20_000  # after the start, a failure or silence; each answer doubles it
@@ -60,7 +60,7 @@
 URGENT_INITIAL_DELAY = 2_000
 URGENT_MAX_DELAY = 10_000
 URGENT_RETRIES = 8  # after these the change has been in effect for a while
-URGENT_BACKOFF_FACTOR = 1.5  # more than 1, so that too many callers thin out
+URGENT_BACKOFF_FACTOR = 1.5  # more than 1, so that an overloaded discovery gets fewer calls
 MIN_RETRY_DELAY = 200
 POLL_TIMER_MARK = 0  # of the timer for a poll; marks of the policy's own timers are greater
 
@@ -72,7 +72,7 @@
         self.settings, self.random = settings, random
         self.pushed = not settings.list_on_request
         self.failures = 0  # since the last answer
-        self.recent_answers: int | None = None  # since the start or the last trouble; None: not started
+        self.recent_answers: int | None = None  # since the start, failure or silence; None: not started
         self.urgent_retries_left = 0  # of those granted when a watch fell silent or discovery moved
 
     def fleet_offset(self) -> float:
--- a/basalthook/routing/attempts.py
+++ b/basalthook/routing/attempts.py
@@ -63,7 +63,7 @@
             entry,
         )
         self.begun_at, self.time_limit = begun_at, time_limit  # ticks; the limit includes connecting
-        self.connection: Connection | None = None  # while this attempt alone uses it
+        self.connection: Connection | None = None  # set while this attempt uses it
         self.stage, self.stop_outcome, self.reused, self.finished = Stage.UNTRIED, None, False, False
         self.response_parser: Parser | None = None
         self.refusal: str | None = None  # why it was not sent
@@ -149,8 +149,8 @@
             self.finish(ConnectionFailure(self.stage, repr(error)))
 
     def on_close(self, failure: ConnectionFailure) -> None:
-        # a response that lasts until the connection closes is complete only if the host closed it in order:
-        # after a reset it is cut short
+        # a body that ends with the connection is complete only after an orderly close by the host; after a
+        # reset it is cut short
         if failure.reason == PEER_CLOSED:
             self.response_parser.feed_eof()
         self.finish(self.response_parser.result or failure)
@@ -256,7 +256,7 @@
         self.dispatcher, self.log_event = dispatcher, log_event
         self.rate_limited_log = RateLimitedLog(log_event, clock, MAX_SUCCESS_LINES_PER_S)
         self.outcome_counts: Counter[str] = Counter()  # of finished attempts
-        self.refusal_counts: Counter[str] = Counter()  # by reason: attempts that were decided but not begun
+        self.refusal_counts: Counter[str] = Counter()  # by reason: attempts that were decided on but not sent
 
     def begin(
         self,
--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -1,4 +1,4 @@
-"""Connections from the application: reads whole requests, submits them as transactions, answers each once."""
+"""Connections from the application: reads requests, submits them as transactions, responds once to each."""
 
 import asyncio
 from collections import Counter
@@ -359,7 +359,7 @@
             )  # not called directly: many pipelined requests would nest too deep
 
     def reject(self, rejection: Rejection) -> None:
-        """Reject bad input, and give the client time to read the reason before the connection closes."""
+        """Reject bad input; the client gets time to read the reason before the connection is closed."""
         self.clients.rate_limited_log("bad input", status=rejection.status, reason=rejection.reason)
         self.keep_alive = False
         if self.connection.write(
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -22,7 +22,7 @@
 
     kind: str  # "committed", "declined", "rolled back", "abandoned"
     message: Message | None = None
-    retry_after: int = 0  # ticks; 0: no advice
+    retry_after: int = 0  # ticks; 0: none is sent
     forwarder: object = None  # streams the rest of a long response from the host
     reason: str = ""  # why no host responded
 
--- a/basalthook/routing/host_registry.py
+++ b/basalthook/routing/host_registry.py
@@ -15,8 +15,8 @@
     id: str
     address: tuple[str, int]
     ready: bool
-    id_hash: int  # a number that stands for the id, the same at every proxy
-    discovered: HostRecord  # as discovery listed it last, without operator overrides
+    id_hash: int  # the same at every proxy
+    discovered: HostRecord  # as in the last list, without operator overrides
 
     @property
     def pool_key(self) -> tuple:
--- a/basalthook/routing/operator_calls.py
+++ b/basalthook/routing/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operator calls on the console address: disable and enable hosts, drain and resume, show the state."""
+"""Operator calls on the admin address: disable and enable hosts, drain and resume, show the state."""
 
 from ..console import admin_api
 from ..console.admin_api import AdminRequest, AdminResponse
--- a/basalthook/routing/start_times.py
+++ b/basalthook/routing/start_times.py
@@ -18,7 +18,7 @@
         """`now()` returns ticks of the program's clock."""
         self.now = now
         self.estimates: dict[str, tuple[int, int]] = {}  # id -> (reported, estimated); at most MAX_ESTIMATES
-        self.last_list_at: int | None = None  # ticks; when discovery's last list was taken
+        self.last_list_at: int | None = None  # ticks; when the last list came from discovery
 
     def list_received(self) -> None:
         self.last_list_at = self.now()
--- a/basalthook/transport/hostpool.py
+++ b/basalthook/transport/hostpool.py
@@ -21,23 +21,28 @@
     """Opens connections to hosts and keeps the idle ones for reuse, by the pool key of their host."""
 
     def __init__(
-        self, buffers: BufferPool, descriptors: DescriptorBudget, timers: Timers, idle: float, connect: float
+        self,
+        buffers: BufferPool,
+        descriptors: DescriptorBudget,
+        timers: Timers,
+        host_idle_timeout: float,
+        connect_timeout: float,
     ) -> None:
-        """`idle` and `connect`: as for `set_timeouts`, in seconds."""
+        """The timeouts are those of `set_timeouts`, in seconds."""
         self.buffers, self.descriptors, self.timers = buffers, descriptors, timers
         self.idle_timeout = self.connect_timeout = 0.0
         # oldest first -> pool key, usable until
         self.idle_connections: OrderedDict[Connection, tuple] = OrderedDict()
         self.by_host: dict[tuple, list[Connection]] = {}  # removed when used, closed or expired
         self.sweep_timer = None
-        self.set_timeouts(idle, connect)
+        self.set_timeouts(host_idle_timeout, connect_timeout)
         descriptors.reclaimers.append(self.close_oldest)
 
-    def set_timeouts(self, idle: float, connect: float) -> None:
+    def set_timeouts(self, host_idle_timeout: float, connect_timeout: float) -> None:
         """Set how long hosts keep idle connections open and how long connecting may take, both in seconds."""
-        while self.idle_timeout > idle * IDLE_TIMEOUT_FRACTION and self.close_oldest():
+        while self.idle_timeout > host_idle_timeout * IDLE_TIMEOUT_FRACTION and self.close_oldest():
             pass  # hosts now close idle connections earlier than those were pooled for
-        self.idle_timeout, self.connect_timeout = idle * IDLE_TIMEOUT_FRACTION, connect
+        self.idle_timeout, self.connect_timeout = host_idle_timeout * IDLE_TIMEOUT_FRACTION, connect_timeout
 
     def take_idle(self, pool_key: tuple) -> Connection | None:
         """Return the most recently used idle connection to the host that is safe to reuse, or None."""
--- a/basalthook/transport/timestamps.py
+++ b/basalthook/transport/timestamps.py
@@ -76,7 +76,7 @@
     """
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != TCP_SYN_SENT
-    except (OSError, AttributeError):  # unknown: the caller's connect timeout stands
+    except (OSError, AttributeError):  # unknown: the caller's connect timeout applies
         return False
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -57,7 +57,7 @@
         self.assertEqual(self.log.failed_attempts(), [])
 
     async def test_a_response_of_any_size_that_arrives_in_one_read_has_its_body(self):
-        """A response whose streaming began and ended in one read lost its body (8 of 556 when recorded)."""
+        """A response whose streaming began and ended in one read lost its body: 8 of 556 responses."""
         sizes = [n + more for n in (4_096, 8_192, 16_384, 65_536) for more in (-40, -1, 0, 1, 40)]
         responses = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n1\r\n!\r\n0\r\n\r\n"
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -112,8 +112,8 @@
 class Lists(unittest.TestCase):
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(("up", "draining", "removed")))))
     def test_of_two_lines_for_one_host_the_one_that_removes_it_takes_precedence(self, lines):
-        servers = [{"id": name, "addr": "127.0.0.1:9", "state": state} for name, state in lines]
-        host_list = catalogue.parse_host_list({"version": 3, "full": True, "servers": servers})
+        entries = [{"id": name, "addr": "127.0.0.1:9", "state": state} for name, state in lines]
+        host_list = catalogue.parse_host_list({"version": 3, "full": True, "servers": entries})
         self.assertEqual(
             {line.id: line.ready for line in host_list.records},
             {name: all(state == "up" for other, state in lines if other == name) for name, _ in lines},
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -142,7 +142,7 @@
 
     async def test_unread_bytes_report_how_long_they_waited(self):
         if timestamps.TIMESTAMP_OPTION is None:
-            self.skipTest("this system has no receive timestamps")
+            self.skipTest("this system has no arrival time stamps")
         with socket.create_server(("127.0.0.1", 0)) as server:
             timestamps.enable(server)
             peer = socket.create_connection(server.getsockname())
