--- a/basalthook/bodies/forwarder.py
+++ b/basalthook/bodies/forwarder.py
@@ -16,8 +16,8 @@
 class ResponseForwarder:
     """Forwards the response that `parser` reads from `connection` to a client.
 
-    The client has the method `piece(data)`, which returns whether the data was written at once (if not,
-    it calls `resume` later), and `over(whole)`, which is called at the end.
+    The client has two methods. `write_piece(data)` returns whether the kernel has accepted all of the data;
+    if not, the client calls `resume` once it has. `forwarding_finished(complete)` is called once, at the end.
     """
 
     __slots__ = ("connection", "parser", "timers", "release", "client", "timer", "ended")
@@ -68,20 +68,20 @@
     def _finish(self) -> None:
         result = self.parser.result
         self._mark_ended()
-        whole = isinstance(result, Message)
-        if whole and result.keep_alive and not self.parser.unparsed:
+        complete = isinstance(result, Message)
+        if complete and result.keep_alive and not self.parser.unparsed:
             self.release(self.connection)
         else:
             self.connection.close()
-        self.client.relay_finished(whole)
+        self.client.forwarding_finished(complete)
 
     def stop(self) -> None:
-        """Stop forwarding: the client has gone, or one side has stalled."""
+        """Stop forwarding, as the client has gone or one side has stalled."""
         if not self.ended:
             self._mark_ended()
             self.connection.close()
             if self.client is not None:
-                self.client.relay_finished(False)
+                self.client.forwarding_finished(False)
 
     def _mark_ended(self) -> None:
         self.ended = True
--- a/basalthook/program/operator_commands.py
+++ b/basalthook/program/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators; each is one call to the second address of a running client proxy."""
+"""Commands for operators; each is one call to the admin address of a running client proxy."""
 
 import http.client
 import sys
@@ -23,13 +23,13 @@
 
 
 def send_request(address: str, seconds: float, method: str, path: str) -> NoReturn:
-    """Prints the answer. Exit code 0: success; 1: refused or no answer."""
+    """Prints the response. Exit code 0: success; 1: refused or no response."""
     try:
         host_name, port = catalogue.parse_address(address)
         connection = http.client.HTTPConnection(host_name, port, timeout=seconds)
         connection.request(method, path)
-        answer = connection.getresponse()
-        text = answer.read().decode().strip()
+        response = connection.getresponse()
+        text = response.read().decode().strip()
         connection.close()
     except ValueError as error:
         raise click.UsageError(str(error)) from None
@@ -37,7 +37,7 @@
         click.echo(f"basalthook: no answer from {address}: {error}", err=True)
         sys.exit(1)
     click.echo(text)
-    sys.exit(0 if 200 <= answer.status < 300 else 1)
+    sys.exit(0 if 200 <= response.status < 300 else 1)
 
 
 def send_command(address: str, seconds: float, action: str, host: str = "") -> NoReturn:
--- a/basalthook/program/startup.py
+++ b/basalthook/program/startup.py
@@ -20,20 +20,21 @@
     discovery: tuple[str, int]
     seed: int
     sockets: int  # limit on file descriptors
-    max_body_bytes: int  # long request bodies held at a time
+    max_body_bytes: int  # of all long request bodies held at a time
     agreed: interface.PolicySettings
     profiles: dict[str, int]
     connect_timeout_s: float
     idle_timeout_s: float
     max_hard_limit_s: float  # the longest hard limit of all profiles
     known_hosts: catalogue.HostList
-    console: tuple[str, int] | None = None  # the second address, for operators
+    console: tuple[str, int] | None = None  # the admin address
     inherited: str | None = None  # descriptor number of the clients' listening socket
-    folder: str | None = None  # shared by processes of this name; only with one of these two
+    folder: str | None = None  # shared by processes of this name; needs `console` or `inherited`
     fleet: object = None  # the decoded fleet file, if there is one
 
 
-# Memory if none is configured, memory of the program itself, share of the rest for bodies of requests.
+# The memory limit if none is configured; the part of it that the program itself needs; the share of the rest
+# that is for request bodies.
 DEFAULT_MEMORY_MB, PROGRAM_MEMORY_MB, BODY_MEMORY_SHARE = 64, 28, 0.7
 
 
@@ -86,13 +87,13 @@
 
 def _decode(document: dict, environ, fleet) -> StartUp:
     settings, allowed = document["settings"], document["settings"]["allowed"]
-    agreed = terms.policy_settings(settings)
-    if fleet is not None and not agreed.peer_reports:
+    policy_settings = terms.policy_settings(settings)
+    if fleet is not None and not policy_settings.peer_reports:
         raise ValueError(
             "settings.allowed.peers: this deployment allows no messages among proxies, "
             "but a fleet file is given"
         )
-    agreed = agreed._replace(
+    policy_settings = policy_settings._replace(
         peer_reports=False
     )  # only the simulator carries the messages that this setting allows
     name = str(document.get("name") or environ.get("RELAY_NAME") or "proxy")
@@ -117,7 +118,7 @@
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
         sockets=min(descriptor_limit, int(document.get("limits", {}).get("sockets") or descriptor_limit)),
         max_body_bytes=int(max(4, memory - PROGRAM_MEMORY_MB) * 2**20 * BODY_MEMORY_SHARE),
-        agreed=agreed,
+        agreed=policy_settings,
         profiles=terms.profile_indices(settings),
         connect_timeout_s=allowed["connect_timeout_ns"] / 1e9,
         idle_timeout_s=allowed.get("keepalive_ns", 0) / 1e9,
--- a/basalthook/routing/dispatcher.py
+++ b/basalthook/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: the only holder of the routing policy, reached through one ordered queue."""
+"""The dispatcher: owns the routing policy and passes it events from one ordered queue."""
 
 from collections import deque
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 from .clock import TICK_NS, Clock
 from .host_registry import HostRegistry
 
-MAX_LOGGED_IDS = 16  # hosts that a log line names for each kind of change
+MAX_LOGGED_IDS = 16  # host ids in a log line, for each kind of change
 MAX_TIMER_DELAY_TICKS = 50  # a timer that is later than this runs between two queued items
 
 
@@ -22,9 +22,9 @@
 
     kind: str  # "committed", "declined", "rolled back", "abandoned"
     message: Message | None = None
-    retry_after: int = 0  # ticks; 0: no advice
-    relay: object = None  # streams the rest of a long response from the host
-    reason: str = ""  # why it does not come from a host
+    retry_after: int = 0  # ticks; 0: none is sent
+    forwarder: object = None  # streams the rest of a long response from the host
+    reason: str = ""  # why no host responded
 
 
 class Transaction:
@@ -87,16 +87,16 @@
     host: int
     outcome: str
     elapsed: int  # ticks, without `unread`
-    unread: int  # ticks that the host's response waited here before it was read
+    unread: int  # ticks that the host's response waited in this process before it was read
     message: Message | None
-    relay: object = None
+    forwarder: object = None
 
 
 class DiscoveryUpdate(NamedTuple):
     """A host list has arrived."""
 
-    listing: HostList
-    answered: bool  # false: known before, not an answer of discovery
+    host_list: HostList
+    from_discovery: bool  # false: known from the start-up file or an earlier process
 
 
 class OverridesChanged(NamedTuple):
@@ -121,7 +121,7 @@
 
     def __init__(
         self,
-        agreement: interface.PolicySettings,
+        settings: interface.PolicySettings,
         seed: int,
         clock: Clock,
         timers: Timers,
@@ -130,8 +130,8 @@
         log_event,
     ) -> None:
         """`read_lag_ns()`: age in nanoseconds of the last moment up to which all input has been read."""
-        self.agreement, self.clock, self.timers, self.registry, self.log_event = (
-            agreement,
+        self.settings, self.clock, self.timers, self.registry, self.log_event = (
+            settings,
             clock,
             timers,
             registry,
@@ -139,15 +139,15 @@
         )
         self.read_lag_ns = read_lag_ns
         # the event handler is the policy itself, or a component that wraps it
-        self.policy = self.event_handler = Proxy(agreement, seed, clock.now())
+        self.policy = self.event_handler = Proxy(settings, seed, clock.now())
         self.queue: deque = deque()
         self.processing, self.next_number = False, 0
         self.transactions: dict[int, Transaction] = {}
         self.begin_attempt = None  # AttemptRunner.begin, set when the program is assembled
 
-    def start(self, known: HostList) -> None:
-        """Pass on the list that is known at start-up."""
-        self.handle_event(self.registry.apply_listing(known, answered=False))
+    def start(self, known_hosts: HostList) -> None:
+        """Pass the host list that is known at start-up to the policy."""
+        self.handle_event(self.registry.apply_host_list(known_hosts, from_discovery=False))
 
     def post(self, item) -> None:
         """Queue an item, and handle the queue unless that is under way."""
@@ -171,18 +171,18 @@
             self.process_queue()
 
     def run_guarded(self, work, item) -> None:
-        """An exception in one item must not stop the service for all other transactions."""
+        """Handle one item and log its exception, if any: other transactions must not be affected by it."""
         try:
             work(item)
-        except Exception as fault:
-            self.log_event("fault", where=type(item).__name__, error=repr(fault))
+        except Exception as error:
+            self.log_event("fault", where=type(item).__name__, error=repr(error))
 
     def handle_event(self, event) -> None:
         now = self.clock.now()
-        self.apply_effects(self.event_handler.handle(now, event, self.observed_until(now)))
+        self.apply_effects(self.event_handler.handle(now, event, self.received_until(now)))
 
-    def observed_until(self, now: int) -> int:
-        """All input that arrived until then has been handled; silence since may be our own delay."""
+    def received_until(self, now: int) -> int:
+        """The time up to which all input has been read; silence after it may be this process's own delay."""
         return now - self.read_lag_ns() // TICK_NS
 
     # ---- queued items
@@ -225,7 +225,7 @@
         transaction.attempts[item.attempt] = None
         self.registry.attempt_finished(item.host)
         if item.message is not None and not transaction.closed:
-            transaction.close(Response(item.outcome, item.message, 0, item.relay))
+            transaction.close(Response(item.outcome, item.message, 0, item.forwarder))
         self.handle_event(
             interface.AttemptEnded(
                 transaction.number,
@@ -240,12 +240,12 @@
         self.forget_if_finished(transaction)
 
     def on_discovery_update(self, item: DiscoveryUpdate) -> None:
-        self.handle_event(self.registry.apply_listing(item.listing, item.answered))
+        self.handle_event(self.registry.apply_host_list(item.host_list, item.from_discovery))
         self.registry.drop_unheld(self.policy.hosts)
         if changes := self.registry.changes:
             self.log_event(
                 "endpoints",
-                version=item.listing.version,
+                version=item.host_list.version,
                 **{change: ids[:MAX_LOGGED_IDS] for change, ids in changes.items()},
                 count=sum(map(len, changes.values())),
             )
@@ -280,7 +280,7 @@
         transaction = self.transactions[effect.tx]
         time_limit = min(effect.time_limit, transaction.deadline - self.clock.now())
         too_late = (
-            transaction.closed or time_limit <= 0 or len(transaction.attempts) >= self.agreement.max_attempts
+            transaction.closed or time_limit <= 0 or len(transaction.attempts) >= self.settings.max_attempts
         )
         entry = self.registry.attempt_started(effect.host)
         transaction.attempts.append(
--- a/basalthook/routing/operator_calls.py
+++ b/basalthook/routing/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operator calls on the console address: disable and enable hosts, drain and resume, show the state."""
+"""Operator calls on the admin address: disable and enable hosts, drain and resume, show the state."""
 
 from ..console import admin_api
 from ..console.admin_api import AdminRequest, AdminResponse
@@ -11,7 +11,7 @@
 
 
 class OperatorCallHandler:
-    """Carries out operator calls; a reply of success means that the change is in force in this process."""
+    """Carries out operator calls; success means that the change is in effect in this process."""
 
     def __init__(
         self, dispatcher: Dispatcher, registry: HostRegistry, clients: Clients, clock: Clock, log_event
@@ -28,8 +28,8 @@
         )  # stores them on disk; returns an error text, "" on success
         self.fleet = None  # source of fleet state, if this process is a member of a fleet
 
-    def handle(self, call: AdminRequest) -> AdminResponse:
-        return self.HANDLERS[call.action](self, call)
+    def handle(self, request: AdminRequest) -> AdminResponse:
+        return self.HANDLERS[request.action](self, request)
 
     def ready(self, _: AdminRequest) -> AdminResponse:
         if not self.clients.ready:
@@ -40,7 +40,7 @@
 
     def hosts(self, _: AdminRequest) -> AdminResponse:
         policy_hosts, overrides = self.dispatcher.policy.hosts, self.registry.overrides
-        lines = [
+        rows = [
             {
                 "id": entry.id,
                 "address": ":".join(map(str, entry.address)),
@@ -55,7 +55,7 @@
             for host, (_, disabled) in overrides.by_host.items()
             if disabled and not self.registry.is_known(host)
         ]
-        return admin_api.json_lines(sorted(lines + unlisted, key=lambda line: line["id"]))
+        return admin_api.json_lines(sorted(rows + unlisted, key=lambda row: row["id"]))
 
     def members(self, _: AdminRequest) -> AdminResponse:
         return admin_api.json_lines(self.fleet.members()) if self.fleet is not None else NOT_A_MEMBER
@@ -66,24 +66,24 @@
     def limits(self, _: AdminRequest) -> AdminResponse:
         return admin_api.json_lines(self.fleet.shares()) if self.fleet is not None else NOT_A_MEMBER
 
-    def host(self, call: AdminRequest) -> AdminResponse:
-        overrides, disabled = self.registry.overrides, call.action == admin_api.DISABLE
-        if not self.registry.is_known(call.host) and not overrides.is_disabled(call.host):
+    def host(self, request: AdminRequest) -> AdminResponse:
+        overrides, disabled = self.registry.overrides, request.action == admin_api.DISABLE
+        if not self.registry.is_known(request.host) and not overrides.is_disabled(request.host):
             return AdminResponse(404, "no such host")
-        if not overrides.set_disabled(call.host, self.clock.now() * TICK_NS, disabled):
+        if not overrides.set_disabled(request.host, self.clock.now() * TICK_NS, disabled):
             return AdminResponse(200, "it is out already" if disabled else "it was not out")
-        self.dispatcher.post(OverridesChanged({call.host}))
+        self.dispatcher.post(OverridesChanged({request.host}))
         return self.reply_after_saving("out" if disabled else "back, and cold")
 
-    def drain(self, call: AdminRequest) -> AdminResponse:
-        drained = call.action == admin_api.DRAIN
+    def drain(self, request: AdminRequest) -> AdminResponse:
+        drained = request.action == admin_api.DRAIN
         if not self.registry.overrides.set_drained(self.clock.now() * TICK_NS, drained):
             return AdminResponse(200, "drained already" if drained else "not drained")
         self.clients.set_drained(drained)
         return self.reply_after_saving("clients are sent away" if drained else "back to work")
 
     def reply_after_saving(self, text: str) -> AdminResponse:
-        """Store the overrides; the reply says if that failed."""
+        """Store the overrides; the response says if that failed."""
         error = self.save_overrides(self.registry.overrides)
         if error:
             self.log_event("orders not kept", reason=error)
--- a/basalthook/routing/watch.py
+++ b/basalthook/routing/watch.py
@@ -15,7 +15,7 @@
 # Pause after an answer without a newer version, so that a discovery which answers at once isn't called in a
 # tight loop. Discovery keeps a watch open if the next call comes within 0.2 s.
 UNCHANGED_PAUSE_S = 0.1
-CHANGED_PAUSE_S = 0.005  # after a newer version, which may be followed by newer ones without end
+CHANGED_PAUSE_S = 0.005  # after a newer version; a discovery may have a newer one at every call
 
 
 class Watch:
@@ -40,9 +40,9 @@
             log_event,
         )
         self.timers = timers
-        self.calls: list[asyncio.Task] = []  # newest last, at most BESIDE_MOST; removed as they fail
+        self.calls: list[asyncio.Task] = []  # newest last, at most MAX_PARALLEL_CALLS; removed as they fail
         self.retry_timer = None  # of the next call, while no call is open
-        # whether the complete list must come first, as versions may be numbered differently now
+        # the complete list must come first, as discovery may number its versions differently now
         self.needs_full_list = False
         self.failure_reasons: list[str] = []  # of the calls that have failed since the last answer
         self.calls_started = 0  # since the process started; numbers the calls in the log
@@ -54,7 +54,7 @@
         return (self.timers.now() - self.answered_at) / self.timers.ticks_per_second
 
     def start(self, at_once: bool = False) -> None:
-        """`at_once`: make the first call without delay, for the changes that discovery has already."""
+        """`at_once`: make the first call without delay, to get the changes that discovery has already."""
         if not self.calls and self.retry_timer is None:
             self.schedule.on_start()
             delay = 0 if at_once else self.schedule.initial_delay()
@@ -89,7 +89,7 @@
         self.start_call(False)
 
     def start_call(self, at_once: bool) -> None:
-        """Open one more connection. `at_once`: its first call asks for present changes, without a wait."""
+        """Open one more connection. `at_once`: its first call requests present changes, without a wait."""
         self.retry_timer = None
         call = asyncio.get_running_loop().create_task(self.run(at_once))
         self.calls.append(call)
@@ -97,7 +97,7 @@
     def add_call(self, call: asyncio.Task) -> None:
         """Open a call beside one that is silent.
 
-        A change that discovery has published counts from a fixed time on, even if the answer with it was
+        A change that discovery has published takes effect at a fixed time, even if the answer with it was
         lost.
         """
         if self.calls and self.calls[-1] is call and len(self.calls) < MAX_PARALLEL_CALLS:
@@ -112,14 +112,14 @@
             at_once = False
         self.calls.remove(task)
         self.failure_reasons.append(reason)
-        rejected = all(r.startswith("status") for r in self.failure_reasons)
+        overloaded = all(r.startswith("status") for r in self.failure_reasons)
         if self.calls:  # one of the other calls may still be answered
             delay = self.schedule.hedge_delay_after_failure(
-                len(self.calls), len(self.failure_reasons), rejected
+                len(self.calls), len(self.failure_reasons), overloaded
             )
             self.timers.set(delay, self.add_call, self.calls[-1])
             return self.log_event("list call failed", reason=reason, others=len(self.calls))
-        wait = self.schedule.retry_delay(rejected)
+        wait = self.schedule.retry_delay(overloaded)
         self.log_event(
             "list lost",
             reason="; ".join(dict.fromkeys(self.failure_reasons)),
@@ -143,8 +143,8 @@
             return connection.reason
         try:
             return await self.follow(connection, task, at_once)
-        except Exception as fault:  # costs this connection only, not the watch
-            return repr(fault)
+        except Exception as error:  # must affect this connection only, not the watch
+            return repr(error)
         finally:
             connection.close()
 
@@ -154,35 +154,35 @@
         Returns the reason, or "" if discovery has closed the connection after an answer.
         """
         connected = asyncio.get_running_loop().create_future()
-        silent_after = self.schedule.hedge_delay(len(self.calls), at_once)
+        hedge_delay = self.schedule.hedge_delay(len(self.calls), at_once)
         connection.connect(self.address, connected.set_result)
-        with self.time_limits(connection, 0, silent_after, task):
-            fault = await connected
-        if fault is not None:
-            return fault.reason
+        with self.time_limits(connection, 0, hedge_delay, task):
+            failure = await connected
+        if failure is not None:
+            return failure.reason
         while True:
             full_list = self.needs_full_list
             wait = 0 if at_once or full_list else self.schedule.watch_wait()
-            with self.time_limits(connection, wait, silent_after, task):
-                found = await self.call(connection, wait)
-            if isinstance(found, ConnectionFailure):
-                return found.reason
-            listing = catalogue.decode_host_list(found.body) if found.status == 200 else None
-            if listing is None:
+            with self.time_limits(connection, wait, hedge_delay, task):
+                response = await self.call(connection, wait)
+            if isinstance(response, ConnectionFailure):
+                return response.reason
+            host_list = catalogue.decode_host_list(response.body) if response.status == 200 else None
+            if host_list is None:
                 return (
-                    f"status {found.status}, no valid list"
-                    if found.status == 200
-                    else (f"status {found.status}")
+                    f"status {response.status}, no valid list"
+                    if response.status == 200
+                    else (f"status {response.status}")
                 )
-            if full_list and not listing.complete:
+            if full_list and not host_list.complete:
                 return "changes instead of the complete list"
-            await self.take_answer(listing, task, at_once)
-            at_once, silent_after = False, self.schedule.hedge_delay(1)
-            if not found.keep_alive:
+            await self.take_answer(host_list, task, at_once)
+            at_once, hedge_delay = False, self.schedule.hedge_delay(1)
+            if not response.keep_alive:
                 return ""
 
-    async def take_answer(self, listing: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
-        """Take the first answer of any call; its connection continues the watch, the others are cancelled."""
+    async def take_answer(self, host_list: catalogue.HostList, task: asyncio.Task, at_once: bool) -> None:
+        """Use the first answer to any call: its connection continues the watch, other calls are cancelled."""
         others = [call for call in self.calls if call is not task]
         for call in others:
             call.cancel()
@@ -190,25 +190,29 @@
             self.log_event("list calls cancelled", count=len(others), reason="another was answered first")
         self.calls, self.failure_reasons, self.answered_at = [task], [], self.timers.now()
         self.schedule.on_answer()
-        if listing.version < self.version and not self.needs_full_list:
+        if host_list.version < self.version and not self.needs_full_list:
             # Discovery has restarted its version numbers. It may never reach ours, and its changes would be
             # applied to a different list.
             self.needs_full_list = True
-            self.log_event("list behind", version=listing.version, ours=self.version)
+            self.log_event("list behind", version=host_list.version, ours=self.version)
             return
-        newer, self.version, self.needs_full_list = listing.version != self.version, listing.version, False
-        if newer or listing.records or listing.complete:
-            doubled = {"doubled": listing.duplicates} if listing.duplicates else {}
+        newer, self.version, self.needs_full_list = (
+            host_list.version != self.version,
+            host_list.version,
+            False,
+        )
+        if newer or host_list.records or host_list.complete:
+            doubled = {"doubled": host_list.duplicates} if host_list.duplicates else {}
             self.log_event(
                 "list",
-                version=listing.version,
-                complete=listing.complete,
-                lines=len(listing.records),
+                version=host_list.version,
+                complete=host_list.complete,
+                lines=len(host_list.records),
                 **doubled,
             )
-            self.dispatcher.post(DiscoveryUpdate(listing, answered=True))
+            self.dispatcher.post(DiscoveryUpdate(host_list, from_discovery=True))
         else:
-            self.log_event("list unchanged", version=listing.version)
+            self.log_event("list unchanged", version=host_list.version)
         self.notify_contact()
         if not at_once:
             await asyncio.sleep(CHANGED_PAUSE_S if newer else UNCHANGED_PAUSE_S)
@@ -238,30 +242,31 @@
             if parser.result is not None and not done.done():
                 done.set_result(None)
 
-        def on_closed(fault: ConnectionFailure) -> None:
+        def on_close(failure: ConnectionFailure) -> None:
             parser.feed_eof()
             if not done.done():
-                done.set_result(None if parser.result is not None else fault)
+                done.set_result(None if parser.result is not None else failure)
 
-        connection.start_reading(on_data, on_closed)
+        connection.start_reading(on_data, on_close)
         if not done.done():
             connection.write((request,))
-        fault = await done
-        if fault is not None:
-            return fault
+        failure = await done
+        if failure is not None:
+            return failure
         if not isinstance(parser.result, Message) or not parser.result.delimited:
             return ConnectionFailure(Stage.ANSWERING, "no valid HTTP response")
         return parser.result
 
     @contextmanager
-    def time_limits(self, connection: Connection, wait: int, silent_after: int, task: asyncio.Task):
+    def time_limits(self, connection: Connection, wait: int, hedge_delay: int, task: asyncio.Task):
         """Time limits for what is awaited inside.
 
-        A parallel call opens `silent_after` ticks past `wait`, and the connection fails `GIVE_UP` past it.
+        A parallel call opens `hedge_delay` ticks after `wait` is over, and the connection fails
+        `CALL_TIMEOUT` ticks after it is over.
         """
         reason = f"no answer within {(wait + CALL_TIMEOUT) / self.timers.ticks_per_second:g} s"
         limits = (
-            self.timers.set(wait + silent_after, self.add_call, task),
+            self.timers.set(wait + hedge_delay, self.add_call, task),
             self.timers.set(wait + CALL_TIMEOUT, connection.fail, reason),
         )
         try:
--- a/basalthook/simwire/codec.py
+++ b/basalthook/simwire/codec.py
@@ -24,13 +24,13 @@
     """One proxy instance: its policy state, and the small integers that stand for ids on the wire."""
 
     def __init__(self, seed: int, setup: dict, now: int) -> None:
-        self.proxy = Proxy(terms.policy_settings(setup), seed, now)
-        self.decider = PollingPolicy(
-            DiscoverySchedule(self.proxy.settings, self.proxy.rng), FaultAggregator(self.proxy)
+        self.policy = Proxy(terms.policy_settings(setup), seed, now)
+        self.event_handler = PollingPolicy(
+            DiscoverySchedule(self.policy.settings, self.policy.rng), FaultAggregator(self.policy)
         )
         self.profiles = terms.profile_indices(setup)
         # address -> index; grows with every host ever listed, until a restart
-        self.hosts: dict[str, int] = {}
+        self.host_indices: dict[str, int] = {}
         self.addresses: list[str] = []
         self.host_hashes: list[int] = []  # by index; hashed once, as lists arrive often
         self.host_by_hash: dict[int, int] = {}  # messages between proxies name hosts by hash
@@ -41,9 +41,9 @@
 
     def host_index(self, address: str) -> int:
         """Return the index of a host, assigning one if it is new."""
-        index = self.hosts.get(address)
+        index = self.host_indices.get(address)
         if index is None:
-            index = self.hosts[address] = len(self.addresses)
+            index = self.host_indices[address] = len(self.addresses)
             self.addresses.append(address)
             self.host_hashes.append(terms.stable_number(address))
             self.host_by_hash[self.host_hashes[index]] = index
@@ -79,7 +79,7 @@
             del self.tx_numbers[entry[0]]
 
     def decode_event(self, name: str, fields: dict, lists: dict) -> tuple | None:
-        """Return the event that a wire event stands for, or None if it concerns what is closed here already.
+        """Return the event for a wire event, or None if it needs no handling, as for closed transactions.
 
         Raises ValueError for an unknown name.
         """
@@ -191,7 +191,7 @@
                     self.lists[fields.get("slot", 0)] = fields["records"]
                 elif name == "SPAWN":
                     instance = self.instances[who] = Instance(fields["nonce64"], fields["setup"], now)
-                    decisions += map(instance.encode_decision, instance.decider.begin())
+                    decisions += map(instance.encode_decision, instance.event_handler.begin())
                 elif name == "KILL":
                     self.instances.pop(who, None)
                     decisions.clear()  # decisions made earlier in this batch are lost with the instance
@@ -199,7 +199,9 @@
                     instance = self.instances[who]
                     decoded = instance.decode_event(name, fields, self.lists)
                     if decoded is not None:
-                        decisions += map(instance.encode_decision, instance.decider.handle(now, decoded))
+                        decisions += map(
+                            instance.encode_decision, instance.event_handler.handle(now, decoded)
+                        )
             if decisions:
                 parts.append({"who": who, "decisions": decisions})
         return {"parts": parts}
--- a/benchmarks/floor.py
+++ b/benchmarks/floor.py
@@ -130,7 +130,7 @@
         announce_ready(sockets[0].getsockname()[:2])
     elif layer == "program":
         service = Service(start_up, Log("floor"), None, selector)
-        service.owner.policy = NextHost()
+        service.dispatcher.policy = NextHost()
         return await service.run()
     else:
         buffers, descriptors, address_cycle = (
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -46,7 +46,7 @@
 
     async def test_long_responses_of_every_framing_arrive_complete_and_connections_are_reused(self):
         caller = await self.start_proxy(SocketHost(SIZED, CHUNKED, (TO_THE_END,), SIZED, OK))
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for _ in range(4):
             caller.send_request("submit")
             head, body, whole = await self.read_response(caller)
@@ -57,7 +57,7 @@
         self.assertEqual(self.log.failed_attempts(), [])
 
     async def test_a_response_of_any_size_that_arrives_in_one_read_has_its_body(self):
-        """A response whose streaming began and ended in one read lost its body (8 of 556 when recorded)."""
+        """A response whose streaming began and ended in one read lost its body: 8 of 556 responses."""
         sizes = [n + more for n in (4_096, 8_192, 16_384, 65_536) for more in (-40, -1, 0, 1, 40)]
         responses = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n1\r\n!\r\n0\r\n\r\n"
@@ -94,7 +94,7 @@
                 host.replies = [OK]
             self.assertEqual(await second.status(key="k2", profile="submit"), 200)
             await asyncio.wait_for(self.wait_until(lambda: len(self.service.clients.open_clients) == 1), 10)
-        self.assertEqual(len(self.service.owner.transactions), 0)
+        self.assertEqual(len(self.service.dispatcher.transactions), 0)
 
     async def test_a_client_that_disconnects_ends_its_hosts_connection(self):
         caller = await self.start_proxy(SocketHost(SIZED[:-1000]))
@@ -137,7 +137,7 @@
         await first.stop()
         await self.wait_until(lambda: not self.service.clients.body_memory.in_use)
 
-    async def test_memory_of_a_body_that_admission_control_rejects_is_released(self):
+    async def test_memory_of_a_body_that_admission_control_sheds_is_released(self):
         caller = await self.start_proxy(SocketHost())
         with unittest.mock.patch.object(self.service.clients.admission, "admit", return_value=False):
             caller.writer.write(HEAD % b"d" + SENT)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -31,14 +31,15 @@
         """The first attempt is reset after its request; the second one's connection is established late."""
         profile = {**SCAN, "repeat_window_ns": int(window * 1e9)}
         caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
-        fresh, connecting = self.service.pool.open_connection, asyncio.Event()
+        open_connection, connecting = self.service.pool.open_connection, asyncio.Event()
 
-        def connect_late(address, up):
+        def connect_late(address, on_connected):
             if not self.hosts[0].received.qsize() + self.hosts[1].received.qsize():
-                return fresh(address, up)
+                return open_connection(address, on_connected)
             connecting.set()
-            return fresh(
-                address, lambda fault: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, up, fault)
+            return open_connection(
+                address,
+                lambda failure: asyncio.get_running_loop().call_later(CONNECT_DELAY_S, on_connected, failure),
             )
 
         self.service.pool.open_connection = connect_late
@@ -101,10 +102,10 @@
         caller = await self.start_proxy(SocketHost(SILENT))
         caller.send_request("view")
         await self.hosts[0].received.get()
-        dispatcher, (client,) = self.service.owner, self.service.clients.open_clients
+        dispatcher, (client,) = self.service.dispatcher, self.service.clients.open_clients
         (transaction,) = dispatcher.transactions.values()
         dispatcher.processing = True  # as while an item is handled: new ones are queued
-        client.on_closed(None)
+        client.on_close(None)
         transaction.close(Response("abandoned"))
         dispatcher.process_queue()
         self.assertEqual([line for line in self.log.lines if line["event"] == "fault"], [])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -25,7 +25,7 @@
 
     async def test_a_commit_passes_the_body_on_and_reuses_the_connections(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for _ in range(3):
             caller.send_request("submit", body=b"x" * 60_000)
             status, body, _ = await caller.read_response()
@@ -36,12 +36,12 @@
         self.assertEqual(len(self.hosts[0].writers), 1)
 
     async def test_after_a_refused_connection_the_transaction_goes_to_the_next_host(self):
-        dead, alive = await self.start_server(SocketHost()), SocketHost()
+        dead, alive = await self.start_fake(SocketHost()), SocketHost()
         dead.server.close()
         await dead.server.wait_closed()
         caller = await self.start_proxy(alive)
         self.discovery.publish(2, dead.line("s-dead"))
-        await self.wait_until(lambda: len(self.service.owner.registry.entries) == 2)
+        await self.wait_until(lambda: len(self.service.dispatcher.registry.entries) == 2)
         for n in range(12):
             self.assertEqual(await caller.status(profile="submit", key=f"k{n}"), 200)
         self.assertEqual(
@@ -88,7 +88,7 @@
             self.assertEqual(await caller.status(profile="view", key=f"k{n}"), 400)
         self.assertEqual(sum(host.received.qsize() for host in self.hosts), 20)
         self.assertEqual(
-            {s.excluded_until.get("ban", 0) for s in self.service.owner.policy.hosts.values()}, {0}
+            {s.excluded_until.get("ban", 0) for s in self.service.dispatcher.policy.hosts.values()}, {0}
         )
 
     async def test_a_transaction_that_all_hosts_refuse_is_rolled_back(self):
@@ -115,20 +115,20 @@
             self.assertEqual((await caller.read_response())[1], b"done")
         self.assertEqual(len(self.hosts[0].writers), 2)
 
-    async def test_a_connection_rests_before_its_next_attempt(self):
+    async def test_a_connection_is_left_unused_for_a_while_after_a_response(self):
         """Bytes that arrived just after a response were taken for the response to the next transaction."""
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(60)
+        self.set_reuse_delay(60)
         for connections in (1, 2):
             self.assertEqual(await caller.status(), 200)
             self.assertEqual(len(self.hosts[0].writers), connections)
 
     async def test_a_new_host_at_an_old_address_inherits_no_connection(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         self.assertEqual(await caller.status(), 200)
         self.discovery.publish(2, self.hosts[0].line("s-0", state="removed"), self.hosts[0].line("s-new"))
-        await self.wait_until(lambda: self.service.owner.registry.is_ready(1))
+        await self.wait_until(lambda: self.service.dispatcher.registry.is_ready(1))
         self.assertEqual(self.service.pool.idle_connections, {})
         self.assertEqual(await caller.status(), 200)
         self.assertEqual(len(self.hosts[0].writers), 2)
@@ -152,15 +152,15 @@
     async def test_nothing_is_sent_for_a_transaction_closed_while_its_connection_was_being_made(self):
         host = SocketHost()
         caller = await self.start_proxy(host)
-        fresh = self.service.pool.open_connection
+        open_connection = self.service.pool.open_connection
 
-        def close_meanwhile(address, up):
-            def connected(fault):
-                (transaction,) = self.service.owner.transactions.values()
+        def close_meanwhile(address, on_connected):
+            def connected(failure):
+                (transaction,) = self.service.dispatcher.transactions.values()
                 transaction.closed = True
-                up(fault)
+                on_connected(failure)
 
-            return fresh(address, connected)
+            return open_connection(address, connected)
 
         self.service.pool.open_connection = close_meanwhile
         caller.send_request("submit")
@@ -198,7 +198,7 @@
         self.discovery.publish(
             2, host.line("s-full", addr=f"127.0.0.1:{address[1]}"), host.line("s-0", state="removed")
         )
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(0))
         self.assertEqual(await caller.status(profile="submit", timeout="1.5"), 503)
         self.assertEqual(self.log.failed_attempts(), [("connecting", interface.UNREACHABLE)])
         self.assertGreaterEqual(self.log.lines[-2]["ms"], 250)
@@ -208,21 +208,21 @@
     async def test_a_connection_reset_while_connecting_does_not_count_as_refused(self):
         peer = socket.create_server(("127.0.0.1", 0))
         connection = Connection.for_address(peer.getsockname(), BufferPool(64, 8), DescriptorBudget(64))
-        coming = asyncio.get_running_loop().create_future()
-        connection.connect(peer.getsockname(), coming.set_result)
+        connect_result = asyncio.get_running_loop().create_future()
+        connection.connect(peer.getsockname(), connect_result.set_result)
         accepted, _ = peer.accept()
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         accepted.close()
-        self.assertEqual((await coming).stage, Stage.WRITING)
+        self.assertEqual((await connect_result).stage, Stage.WRITING)
         peer.close()
 
     async def test_an_attempt_decided_too_late_ends_as_unsent(self):
         caller = await self.start_proxy(SocketHost(SILENT))
         caller.send_request("submit")
         await self.hosts[0].received.get()
-        (transaction,) = self.service.owner.transactions.values()
+        (transaction,) = self.service.dispatcher.transactions.values()
         transaction.closed = True
-        dispatcher = self.service.owner
+        dispatcher = self.service.dispatcher
         effects = [[interface.SendAttempt(transaction.number, 0, 5_000)], []]
         with unittest.mock.patch.object(dispatcher.policy, "handle", side_effect=effects):
             dispatcher.on_timer(7)
@@ -264,7 +264,7 @@
         self.assertEqual(len(self.service.pool.idle_connections), 1)
 
     async def test_many_clients_that_stop_within_a_head_do_not_lock_others_out(self):
-        """They held all connections for 2.5 s, and others waited to be accepted; the score G fell to 0.37."""
+        """They held all connections for 2.5 s while others waited; the score G fell to 0.37."""
         caller = await self.start_proxy(SocketHost(), sockets=16 + 24)
         self.assertEqual(await caller.status(), 200)
         stalled = []
@@ -332,7 +332,7 @@
 
     async def test_pipelined_requests_are_answered_in_order_one_at_a_time(self):
         caller = await self.start_proxy(SocketHost())
-        self.set_settle_time(0)
+        self.set_reuse_delay(0)
         for n in range(40):
             caller.send_request("submit" if n % 3 else "view", body=b"%d" % n, key=f"k{n}")
         for _ in range(40):
@@ -373,8 +373,8 @@
         self.assertTrue(
             await self.hosts[0].disconnects.get()
         )  # the attempt is cancelled, which these settings allow
-        await self.wait_until(lambda: not self.service.owner.transactions)
-        self.assertEqual(self.service.owner.policy.txs, {})
+        await self.wait_until(lambda: not self.service.dispatcher.transactions)
+        self.assertEqual(self.service.dispatcher.policy.txs, {})
 
     async def test_bad_input_gets_its_status_and_reaches_no_host(self):
         first = await self.start_proxy(SocketHost())
@@ -410,13 +410,13 @@
     async def test_a_host_that_discovery_lists_as_draining_gets_nothing(self):
         caller = await self.start_proxy(SocketHost(), SocketHost())
         self.discovery.publish(2, self.hosts[0].line("s-0", state="draining"))
-        await self.wait_until(lambda: not self.service.owner.registry.is_ready(0))
+        await self.wait_until(lambda: not self.service.dispatcher.registry.is_ready(0))
         for n in range(10):
             self.assertEqual(await caller.status(key=f"k{n}"), 200)
         self.assertEqual((self.hosts[0].received.qsize(), self.hosts[1].received.qsize()), (0, 10))
         for version in (3, 4):
             self.discovery.publish(version)
-        # waits are spread from once to twice ask_within, which is 10 ms, and a quarter of that at first
+        # waits are one to two times ask_within_ns, which is 10 ms here, and start at a quarter of that
         for version, waits in ((1, "[234]"), (2, "[5-9]"), (3, r"1\d"), (4, r"1\d")):
             self.assertRegex(await self.discovery.received.get(), rf"members\?index={version}&wait={waits}$")
 
@@ -424,17 +424,17 @@
         caller = await self.start_proxy(SocketHost())
         self.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
         self.discovery.responses.put_nowait(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        lines = [
+        records = [
             self.hosts[0].line(f"s-{n}", state="draining") for n in range(500)
         ]  # longer than many buffers
-        self.discovery.publish(7, *lines, full=True)
+        self.discovery.publish(7, *records, full=True)
         for _ in range(4):
             self.assertIn("index=", await self.discovery.received.get())
         self.assertEqual(sum(line["event"] == "list lost" for line in self.log.lines), 2)
         self.assertEqual(await caller.status(timeout="0.05"), 503)  # no host is ready any more
 
     async def test_a_host_that_moved_is_found_at_its_new_address(self):
-        caller, moved = await self.start_proxy(SocketHost()), await self.start_server(SocketHost())
+        caller, moved = await self.start_proxy(SocketHost()), await self.start_fake(SocketHost())
         self.discovery.publish(2, moved.line("s-0"))
         await self.wait_until(lambda: [line for line in self.log.lines if line["event"] == "list"])
         self.assertEqual(await caller.status(), 200)
@@ -442,7 +442,9 @@
 
     async def test_an_exception_in_the_policy_costs_one_transaction_not_the_service(self):
         caller = await self.start_proxy(SocketHost())
-        with unittest.mock.patch.object(self.service.owner.policy, "handle", side_effect=KeyError("defect")):
+        with unittest.mock.patch.object(
+            self.service.dispatcher.policy, "handle", side_effect=KeyError("defect")
+        ):
             self.assertEqual(await caller.status(timeout="0.02"), 504)
         self.assertIn(
             "RequestReceived", [line["where"] for line in self.log.lines if line["event"] == "fault"]
@@ -451,32 +453,32 @@
         self.assertEqual(await (await self.connect()).status(), 200)
 
     async def test_hosts_that_are_gone_are_forgotten_when_no_attempt_is_open(self):
-        registry, host = HostRegistry(), await self.start_server(SocketHost())
+        registry, host = HostRegistry(), await self.start_fake(SocketHost())
         first = decode(start_up([host], host), {}).known_hosts
-        number = registry.apply_listing(first, False).hosts[0].host_id
+        number = registry.apply_host_list(first, False).hosts[0].host_id
         registry.attempt_started(number)
-        registry.apply_listing(first._replace(records=()), True)
+        registry.apply_host_list(first._replace(records=()), True)
         self.assertEqual((len(registry.entries), registry.is_ready(number)), (1, False))
         registry.attempt_finished(number)
         self.assertEqual((registry.entries, registry.numbers_by_id), ({}, {}))
-        self.assertNotEqual(registry.apply_listing(first, True).hosts[0].host_id, number)
+        self.assertNotEqual(registry.apply_host_list(first, True).hosts[0].host_id, number)
 
     async def test_where_only_draining_binds_an_unlisted_host_stays_until_dropped_and_a_drained_one_does_not(
         self,
     ):
-        registry, host = HostRegistry(only_draining_binds=True), await self.start_server(SocketHost())
+        registry, host = HostRegistry(use_unlisted=True), await self.start_fake(SocketHost())
         first = decode(start_up([host], host), {}).known_hosts
-        number = registry.apply_listing(first, False).hosts[0].host_id
+        number = registry.apply_host_list(first, False).hosts[0].host_id
         gone = first.records[0]._replace(ready=False)
-        for lines, stays in (
+        for records, stays in (
             ((), True),
             ((gone._replace(removed=True),), True),
             ((gone._replace(draining=True),), False),
         ):
-            registry.apply_listing(first._replace(records=lines), True)
+            registry.apply_host_list(first._replace(records=records), True)
             registry.drop_unheld({number})
             self.assertEqual(registry.is_ready(number), stays)
-        registry.apply_listing(first, True)
+        registry.apply_host_list(first, True)
         registry.drop_unheld({})
         self.assertEqual(registry.entries, {})
 
@@ -522,14 +524,14 @@
 
     async def test_a_buffer_is_returned_after_each_read_and_when_the_connection_ends(self):
         with socket.create_server(("127.0.0.1", 0)) as server:
-            theirs = socket.create_connection(server.getsockname())
-            ours, _ = server.accept()
+            peer = socket.create_connection(server.getsockname())
+            accepted, _ = server.accept()
         pool, descriptors, seen = BufferPool(64, 8), DescriptorBudget(64), []
-        connection = Connection(ours, pool, descriptors)
+        connection = Connection(accepted, pool, descriptors)
         connection.start_reading(lambda part, late: seen.append((bytes(part), len(pool.free))), seen.append)
-        theirs.send(b"x" * 100)
+        peer.send(b"x" * 100)
         await self.wait_until(lambda: len(seen) == 2)
         self.assertEqual(seen, [(b"x" * 64, 0), (b"x" * 36, 0)])
-        theirs.close()
+        peer.close()
         await self.wait_until(lambda: len(seen) == 3)
         self.assertEqual((len(pool.free), descriptors.in_use, seen[2].stage), (1, 0, Stage.WRITTEN))
