--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -19,14 +19,14 @@
 from ..protocol.catalogue import HostRecord
 from ..recovery.discovery_schedule import DiscoverySchedule, PollingPolicy
 from . import overrun
-from .faults import ON_PROCESSES, ClockFault, LongWay, Maintain
+from .faults import PROCESS_ONLY_FAULTS, ClockFault, LongWay, Maintain
 from .links import Links
-from .model import machines
-from .result import Result, found
-from .scenario import BadScenario, Scenario, moments
-from .start import settings
+from .model import build_machines
+from .result import Result, build_result
+from .scenario import Scenario, ScenarioError, fault_events
+from .start import proxy_settings
 from .talking import Talking
-from .wire import Answered, Asked, Called, Done, Excused, Got, Told
+from .wire import Answered, AnswerWaived, Asked, Done, Got, HostStateSent, ListRequested
 
 TICKS = 10_000  # the decisions' time: so many a second
 BORN = 100.0  # seconds on the virtual clock when everything starts
@@ -40,7 +40,7 @@
     def __init__(self, told: Scenario, seed: int, wire: list | None = None) -> None:
         self.told, self.seed, self.now, self.wire = told, seed, BORN, [] if wire is None else wire
         self.heap, self.order, self.digest = [], count(), blake2b(digest_size=16)
-        self.machines, self.zones = machines(told)
+        self.machines, self.zones = build_machines(told)
         size = len(self.machines)
         self.chance = [Random(f"host {n} of {seed}") for n in range(size)]
         self.ways, self.lists = Random(f"network of {seed}"), Random(f"discovery of {seed}")
@@ -74,7 +74,7 @@
     def start(self, n: int, first: bool) -> None:
         """A new process of this proxy, that knows the list as discovery has it."""
         self.lives[n] += 1
-        agreed = terms.policy_settings(settings(self.told, n, self.homes[n]))
+        agreed = terms.policy_settings(proxy_settings(self.told, n, self.homes[n]))
         again = "" if first else f", life {self.lives[n]}"
         proxy = self.proxies[n] = Proxy(
             agreed, terms.stable_number(f"proxy {n} of {self.seed}{again}"), self.ticks_of(n)
@@ -107,9 +107,9 @@
     def run(self) -> None:
         told = self.told
         until = BORN + told.seconds
-        for at, act, given in moments(told.faults):
+        for at, act, given in fault_events(told.faults):
             self.later(at, act, self, *given)
-        self.later(self.schedule.expovariate(told.rate(0.0)), self.arrive, until)
+        self.later(self.schedule.expovariate(told.rate_at(0.0)), self.arrive, until)
         longest = max(p.hard_limit for p in told.load.profiles)
         over = until + (longest + AFTER) * (1 + told.load.retries)
         while self.heap and self.heap[0][0] <= over and (self.heap[0][0] < until or self.open):
@@ -128,7 +128,7 @@
         key = f"key-{self.draws.choices(range(load.keys), cum_weights=self.weights)[0]}"
         proxy = self.up_from(self.draws.randrange(len(self.proxies)))
         self.ask(proxy, profile, key, self.draws.expovariate(1 / profile.work), self.now, None, 0)
-        if (due := self.now + self.schedule.expovariate(self.told.rate(self.now - BORN))) < until:
+        if (due := self.now + self.schedule.expovariate(self.told.rate_at(self.now - BORN))) < until:
             self.later(due - self.now, self.arrive, until)
 
     def up_from(self, proxy: int) -> int:
@@ -156,7 +156,7 @@
             ),
         )
 
-    def answered(self, proxy: int, tx: int, status: int, come_back: float = 0.0) -> None:
+    def answered(self, proxy: int, tx: int, status: int, start_host: float = 0.0) -> None:
         asked, again = self.open.pop((proxy, tx), None), self.given.pop((proxy, tx), None)
         if asked is None:
             return
@@ -164,7 +164,7 @@
         self.forget(proxy, tx)
         load = self.told.load
         if status == 503 and again[-1] < load.retries:
-            wait = come_back if self.manners.random() < load.obey else 0.0
+            wait = start_host if self.manners.random() < load.obey else 0.0
             another = self.up_from(self.draws.randrange(len(self.proxies)))
             self.later(wait, self.ask, another, *again[:-1], again[-1] + 1)
 
@@ -202,7 +202,7 @@
         self.answered(proxy, effect.tx, 502)
 
     def watch_list(self, proxy: int, effect) -> None:
-        self.wire.append(Called(self.now, proxy))
+        self.wire.append(ListRequested(self.now, proxy))
         if self.lists.random() < self.told.discovery.fails:
             return self.later(self.told.discovery.notice, self.tell, proxy, interface.HostListFailed())
         self.later(self.told.discovery.notice, self.list_to, proxy, None)
@@ -242,10 +242,12 @@
     def way(self, here: str, there: str) -> float:
         network, since = self.told.network, self.now - BORN
         way = (network.same if here == there else network.cross) * (1 + network.jitter * self.ways.random())
-        return way + sum(f.more for f in self.long if f.holds(since, here, there))
+        return way + sum(f.more for f in self.long if f.affects(since, here, there))
 
     def lost(self, here: str, there: str) -> bool:
-        return any(f.holds(self.now - BORN, here, there) and self.ways.random() < f.loses for f in self.long)
+        return any(
+            f.affects(self.now - BORN, here, there) and self.ways.random() < f.loses for f in self.long
+        )
 
     def end(self, proxy: int, tx: int, hop: int, outcome: str) -> None:
         """Whatever tells first ends the hop; a second word on it comes too late."""
@@ -287,32 +289,40 @@
         left: float,
     ) -> None:
         machine, now = self.machines[host], self.now
-        if machine.gone:
+        if machine.vanished:
             self.unreached[proxy, host] += 1
             return self.later(CONNECTS, self.end, proxy, tx, hop, interface.UNREACHABLE)
         if not self.up[host]:
             return self.later(way, self.end, proxy, tx, hop, interface.UNREACHABLE)
         cost = machine.cost(now, key, work)
-        cold, capacity = machine.started if machine.warmth(now) < 1.0 else None, machine.capacity(now)
-        full = machine.held >= machine.slots
-        fails = not full and any(self.chance[host].random() < share for share in machine.erring)
+        cold, capacity = machine.started_at if machine.warmth(now) < 1.0 else None, machine.capacity(now)
+        full = machine.occupied_slots >= machine.slots
+        fails = not full and any(self.chance[host].random() < share for share in machine.error_shares)
         self.note(Got(now, host, name, cost, capacity, cold, not full, proxy, left))
         if fails and self.limited:
             self.note(Done(now, host, name))
         if full or fails:
             return self.later(way, self.end, proxy, tx, hop, interface.REFUSED if full else interface.ERROR)
-        ends = machine.take(now, cost)
+        ends = machine.accept(now, cost)
         self.later(ends - now, self.done, proxy, tx, hop, host, machine.life, way)
 
     def done(self, proxy: int, tx: int, hop: int, host: int, life: int, way: float) -> None:
         machine = self.machines[host]
-        machine.done(life)
+        machine.release(life)
         if self.limited and life == machine.life:
             self.note(Done(self.now, host, f"tx-{tx}"))
         here, there = self.homes[proxy], self.zones[host]
-        lost = any(self.chance[host].random() < share for share in machine.losing) or self.lost(here, there)
+        lost = any(self.chance[host].random() < share for share in machine.answer_loss_shares) or self.lost(
+            here, there
+        )
         more = self.links.stream(f"h{host}", f"p{proxy}")
-        if life == machine.life and not machine.silent and not machine.gone and not lost and more is not None:
+        if (
+            life == machine.life
+            and not machine.silent
+            and not machine.vanished
+            and not lost
+            and more is not None
+        ):
             self.later(way + more, self.end, proxy, tx, hop, interface.COMMITTED)
 
     # ---- what faults do to proxies
@@ -345,7 +355,9 @@
             self.tell(n, event)
 
     def excuse(self, n: int) -> None:
-        self.wire += [Excused(self.now, asked.tx) for (proxy, _), asked in self.open.items() if proxy == n]
+        self.wire += [
+            AnswerWaived(self.now, asked.tx) for (proxy, _), asked in self.open.items() if proxy == n
+        ]
 
     def set_clock(self, n: int, ahead: float, rate: float) -> None:
         """What a running process reads never jumps, it counts on a monotonic clock; its rate may change."""
@@ -363,7 +375,7 @@
                 self.later(self.way("", ""), self.end, proxy, tx, hop, interface.RESET)
         self.list_as(host, "removed")
 
-    def come_back(self, host: int) -> None:
+    def start_host(self, host: int) -> None:
         self.up[host], self.started[host] = True, self.now
         self.machines[host].start(self.now)
         self.list_as(host, "up")
@@ -381,7 +393,7 @@
         hosts = range(len(self.machines)) if host is None else [host]
         if self.proxies[proxy] is None or self.links.stream("d", f"p{proxy}") is None:
             return
-        self.wire.extend(Told(self.now, n, self.states[n], proxy) for n in hosts)
+        self.wire.extend(HostStateSent(self.now, n, self.states[n], proxy) for n in hosts)
         listed = tuple(self.line(n) for n in hosts if host is not None or self.states[n] != "removed")
         self.tell(proxy, interface.HostListReceived(listed, host is None, True))
 
@@ -414,11 +426,15 @@
 
 def play(told: Scenario) -> Result:
     """One run of the scenario by its own seed."""
-    if any(isinstance(fault, Maintain | ON_PROCESSES) for fault in told.faults):
-        raise BadScenario(f"{told.name}: maintain and faults of discovery are played on sockets, see --depth")
+    if any(isinstance(fault, Maintain | PROCESS_ONLY_FAULTS) for fault in told.faults):
+        raise ScenarioError(
+            f"{told.name}: maintain and faults of discovery are played on sockets, see --depth"
+        )
     fleet = Fleet(told, told.seed)
     fleet.run()
     talk = fleet.talking.figures(told, BORN) if fleet.talking else None
     if fleet.limited:
         talk["limits"] = overrun.figures(fleet.wire, told)
-    return found(told, fleet.wire, BORN, "decisions", digest=fleet.digest.hexdigest(), talk=talk)
+    return build_result(
+        told, fleet.wire, BORN, "decisions", digest=fleet.digest.hexdigest(), fleet_figures=talk
+    )
--- a/basalthook/lab/discovery.py
+++ b/basalthook/lab/discovery.py
@@ -4,97 +4,99 @@
 import json
 import re
 
-from .deadlines import SILENCE, WAIT_OVER
+from .deadlines import AFTER_WAIT_S, WATCH_SILENCE_S
 from .messages import Messages
-from .wire import Told
+from .wire import HostStateSent
 
-WATCH = re.compile(r"[?&](index|wait)=(\d+)")
+WATCH_QUERY = re.compile(r"[?&](index|wait)=(\d+)")
 
 
-class DiscoveryEnd(Messages):
+class DiscoveryConnection(Messages):
     """Answers a watch when there is something newer, or when its wait is over."""
 
     def __init__(self, fleet, proxy: int) -> None:
         super().__init__()
-        self.fleet, self.proxy, self.waits, self.timer = fleet, proxy, None, None
-        self.silent: float | None = None  # since when, for good
-        self.until = 0.0  # when the wait of the last call is over
-        self.owes = False  # whether it has a call without an answer
+        self.fleet, self.proxy, self.watched_version, self.timer = fleet, proxy, None, None
+        self.silent_since: float | None = None  # since when, for good
+        self.wait_ends_at = 0.0  # when the wait of the last call is over
+        self.call_pending = False  # whether it has a call without an answer
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self.fleet.watching.add(self)
-        if self.fleet.failing == "down":
+        self.fleet.discovery_connections.add(self)
+        if self.fleet.discovery_failure == "down":
             return transport.abort()
-        if self.fleet.to_silence[self.proxy]:
-            self.fleet.to_silence[self.proxy] -= 1
-            self.silent = self.fleet.clock()
+        if self.fleet.watches_to_silence[self.proxy]:
+            self.fleet.watches_to_silence[self.proxy] -= 1
+            self.silent_since = self.fleet.clock()
 
     def connection_lost(self, _) -> None:
-        self.over()
-        self.fleet.watching.discard(self)
-        others = any(end.proxy == self.proxy for end in self.fleet.watching)
-        if self.owes and not others:  # given up by the proxy, not as another call was answered
-            self.fleet.failed[self.proxy] = True
-
-    def message(self, first: str, fields: dict, body: bytes) -> None:
-        self.owes = True
-        self.until = self.fleet.last_call[self.proxy] = self.fleet.clock()
-        self.until += min(60_000, int(dict(WATCH.findall(first)).get("wait", 0))) / 1000
-        if self.silent is None and self.fleet.discovery_delay:
-            asyncio.get_running_loop().call_later(self.fleet.discovery_delay, self.called, first)
-        elif self.silent is None:
-            self.fleet.carry(f"p{self.proxy}", "d", self.called, first)
+        self.cancel_watch()
+        self.fleet.discovery_connections.discard(self)
+        others = any(end.proxy == self.proxy for end in self.fleet.discovery_connections)
+        if self.call_pending and not others:  # given up by the proxy, not as another call was answered
+            self.fleet.last_call_failed[self.proxy] = True
+
+    def message_received(self, first_line: str, fields: dict, body: bytes) -> None:
+        self.call_pending = True
+        self.wait_ends_at = self.fleet.last_call_at[self.proxy] = self.fleet.clock()
+        self.wait_ends_at += min(60_000, int(dict(WATCH_QUERY.findall(first_line)).get("wait", 0))) / 1000
+        if self.silent_since is None and self.fleet.discovery_delay:
+            asyncio.get_running_loop().call_later(self.fleet.discovery_delay, self.handle_call, first_line)
+        elif self.silent_since is None:
+            self.fleet.deliver(f"p{self.proxy}", "d", self.handle_call, first_line)
 
     def refuse(self) -> None:
         """Discovery has too many callers."""
-        self.over()
-        self.owes, self.fleet.failed[self.proxy] = False, True
+        self.cancel_watch()
+        self.call_pending, self.fleet.last_call_failed[self.proxy] = False, True
         self.answer(503)
 
-    def called(self, first: str) -> None:
+    def handle_call(self, first_line: str) -> None:
         if self.transport.is_closing():
             return
-        if self.fleet.failing == "refuses":
+        if self.fleet.discovery_failure == "refuses":
             return self.refuse()
-        asked = dict(WATCH.findall(first))
-        if "index" not in asked:
-            return self.tell(None)
-        self.waits = int(asked["index"])
-        if self.waits < self.fleet.version:
-            return self.tell(self.waits)
-        self.fleet.watches.add(self)
-        wait = min(60_000, int(asked.get("wait", 0))) / 1000
-        self.timer = asyncio.get_running_loop().call_later(wait, self.tell, self.waits)
-
-    def over(self) -> None:
-        self.fleet.watches.discard(self)
+        query = dict(WATCH_QUERY.findall(first_line))
+        if "index" not in query:
+            return self.send_list(None)
+        self.watched_version = int(query["index"])
+        if self.watched_version < self.fleet.version:
+            return self.send_list(self.watched_version)
+        self.fleet.pending_watches.add(self)
+        wait = min(60_000, int(query.get("wait", 0))) / 1000
+        self.timer = asyncio.get_running_loop().call_later(wait, self.send_list, self.watched_version)
+
+    def cancel_watch(self) -> None:
+        self.fleet.pending_watches.discard(self)
         if self.timer is not None:
             self.timer.cancel()
 
-    def counts(self) -> float:
+    def silent_deadline(self) -> float:
         """When what this silent one misses counts as told, whether or not it came."""
-        return max(self.silent + SILENCE, self.until + WAIT_OVER)
-
-    def tell(self, since: int | None) -> None:
-        self.over()
-        if self.fleet.lists == "spoilt":
-            return self.spoil()
-        whole = since is None or self.fleet.lists == "whole"
-        numbers = [n for n, changed in enumerate(self.fleet.changed) if whole or changed > since]
-        told = json.dumps(self.fleet.listing(numbers, whole, self.proxy)).encode()
-        states = [(n, self.fleet.states[n]) for n in numbers]
-        self.fleet.carry("d", f"p{self.proxy}", self.write, told, states)
-
-    def spoil(self) -> None:
+        return max(self.silent_since + WATCH_SILENCE_S, self.wait_ends_at + AFTER_WAIT_S)
+
+    def send_list(self, since: int | None) -> None:
+        self.cancel_watch()
+        if self.fleet.list_fault == "spoilt":
+            return self.send_truncated_list()
+        full = since is None or self.fleet.list_fault == "whole"
+        hosts = [
+            host for host, changed in enumerate(self.fleet.changed_in_version) if full or changed > since
+        ]
+        body = json.dumps(self.fleet.host_list(hosts, full, self.proxy)).encode()
+        states = [(host, self.fleet.states[host]) for host in hosts]
+        self.fleet.deliver("d", f"p{self.proxy}", self.write_list, body, states)
+
+    def send_truncated_list(self) -> None:
         """An answer with no sound list: a failed call."""
-        self.owes, self.fleet.failed[self.proxy] = False, True
-        self.answer(200, json.dumps(self.fleet.listing([0], True, self.proxy)).encode()[:-3])
+        self.call_pending, self.fleet.last_call_failed[self.proxy] = False, True
+        self.answer(200, json.dumps(self.fleet.host_list([0], True, self.proxy)).encode()[:-3])
 
-    def write(self, told: bytes, states: list) -> None:
+    def write_list(self, body: bytes, states: list) -> None:
         if self.transport.is_closing():
             return
-        now, fleet, self.owes = self.fleet.clock(), self.fleet, False
-        fleet.wire += [Told(now, n, state, self.proxy) for n, state in states]
-        fleet.failed[self.proxy], fleet.moved[self.proxy] = False, None
-        self.answer(200, told)
+        now, fleet, self.call_pending = self.fleet.clock(), self.fleet, False
+        fleet.wire += [HostStateSent(now, host, state, self.proxy) for host, state in states]
+        fleet.last_call_failed[self.proxy], fleet.discovery_moved_at[self.proxy] = False, None
+        self.answer(200, body)
--- a/basalthook/lab/endpoints.py
+++ b/basalthook/lab/endpoints.py
@@ -6,64 +6,66 @@
 from functools import partial
 
 from . import loopback
-from .messages import LINGER_NONE, Messages
+from .messages import LINGER_RESET, Messages
 from .model import Machine
 from .wire import Got
 
 BACKLOG = 512
-FILLERS = 2  # connections that fill a backlog of 0
-AGAIN = 0.005  # seconds until the second of two answers ...
-AGAIN_MOST = 0.008  # ... which comes before this, or not at all
+BACKLOG_FILLERS = 2  # connections that fill a backlog of 0
+DUPLICATE_DELAY_S = 0.005  # seconds until the second of two answers ...
+DUPLICATE_DEADLINE_S = 0.008  # ... which comes before this, or not at all
 GARBAGE = b"\x15\x03\x01\x00\x02\x02\x46 no HTTP\r\n\r\n"
-MISSING = 50  # bytes that an answer which ends early lacks
+MISSING_BYTES = 50  # bytes that an answer which ends early lacks
 
 
-class HostEnd(Messages):
+class HostConnection(Messages):
     """An endpoint's side of one connection."""
 
-    def __init__(self, fleet, number: int, proxy: int) -> None:
+    def __init__(self, fleet, host: int, proxy: int) -> None:
         super().__init__()
-        self.fleet, self.number, self.proxy = fleet, number, proxy
-        self.out = self.answered = 0  # requests without an answer; answers so far
-        self.rests_since = 0.0  # from its last answer
+        self.fleet, self.host, self.proxy = fleet, host, proxy
+        self.unanswered = self.answer_count = 0  # requests without an answer; answers so far
+        self.idle_since = 0.0  # from its last answer
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self.fleet.ends[self.number].add(self)
+        self.fleet.host_connections[self.host].add(self)
 
     def connection_lost(self, _) -> None:
-        self.fleet.ends[self.number].discard(self)
+        self.fleet.host_connections[self.host].discard(self)
 
-    def message(self, first: str, fields: dict, body: bytes) -> None:
+    def message_received(self, first_line: str, fields: dict, body: bytes) -> None:
         if self.is_forgotten():
             return self.reset()
-        self.out += 1
-        late = self.read_late()
-        sent_at = self.fleet.clock() - late
-        self.fleet.carry(f"p{self.proxy}", f"h{self.number}", self.arrived, fields, sent_at, late)
-
-    def say(self, status: int, body: bytes = b"", more: str = "") -> None:
-        self.fleet.carry(f"h{self.number}", f"p{self.proxy}", self.answer, status, body, more)
-
-    def answer(self, status: int, body: bytes = b"", more: str = "") -> None:
-        super().answer(status, body, more)
-        self.out -= 1
-        self.answered += 1
-        if self.out:
+        self.unanswered += 1
+        delay = self.read_delay()
+        sent_at = self.fleet.clock() - delay
+        self.fleet.deliver(f"p{self.proxy}", f"h{self.host}", self.handle_request, fields, sent_at, delay)
+
+    def send_answer(self, status: int, body: bytes = b"", extra_headers: str = "") -> None:
+        self.fleet.deliver(f"h{self.host}", f"p{self.proxy}", self.answer, status, body, extra_headers)
+
+    def answer(self, status: int, body: bytes = b"", extra_headers: str = "") -> None:
+        super().answer(status, body, extra_headers)
+        self.unanswered -= 1
+        self.answer_count += 1
+        if self.unanswered:
             return
-        self.rests_since = self.fleet.clock()
-        for fault in self.fleet.resting[self.number]:
+        self.idle_since = self.fleet.clock()
+        for fault in self.fleet.idle_faults[self.host]:
             if fault.how != "forgets":
-                asyncio.get_running_loop().call_later(fault.after, self.rested, fault.how, self.answered)
+                asyncio.get_running_loop().call_later(
+                    fault.after, self.end_if_idle, fault.how, self.answer_count
+                )
 
-    def say_again(self, body: bytes, first_at: float) -> None:
+    def send_duplicate(self, body: bytes, first_at: float) -> None:
         """Unless this process is late: nobody can tell a second answer that comes much later."""
-        if self.fleet.clock() - first_at < AGAIN_MOST:
+        if self.fleet.clock() - first_at < DUPLICATE_DEADLINE_S:
             super().answer(200, body)
 
-    def rested(self, how: str, answered: int) -> None:
+    def end_if_idle(self, how: str, answer_count: int) -> None:
         """Ends it, if nothing has come since that answer."""
-        if self.out or self.answered != answered:
+        if self.unanswered or self.answer_count != answer_count:
             return
         if how == "resets":
             self.reset()
@@ -71,70 +73,74 @@
             self.transport.close()
 
     def is_forgotten(self) -> bool:
-        rested = self.fleet.clock() - self.rests_since
+        idle_for = self.fleet.clock() - self.idle_since
         return (
-            self.answered > 0
-            and not self.out
-            and any(f.how == "forgets" and rested >= f.after for f in self.fleet.resting[self.number])
+            self.answer_count > 0
+            and not self.unanswered
+            and any(f.how == "forgets" and idle_for >= f.after for f in self.fleet.idle_faults[self.host])
         )
 
-    def arrived(self, fields: dict, left: float, late: float) -> None:
+    def handle_request(self, fields: dict, sent_at: float, delay: float) -> None:
         """`left`: when it was sent; `late`: seconds that it had lain in this process's kernel buffer."""
-        fleet, machine, now = self.fleet, self.fleet.machines[self.number], self.fleet.clock()
+        fleet, machine, now = self.fleet, self.fleet.machines[self.host], self.fleet.clock()
         tx, key = fields.get("request-id", ""), fields.get("cookie", "")
         cost = machine.cost(now, key, float(fields.get("lab-work", 0)))
-        cold, capacity = machine.started if machine.warmth(now) < 1.0 else None, machine.capacity(now)
-        ends = None if machine.held >= machine.slots else now
-        fails = ends is not None and any(fleet.chance[self.number].random() < s for s in machine.erring)
-        if ends is not None and not fails:
-            ends = machine.take(now, cost)
+        cold, capacity = machine.started_at if machine.warmth(now) < 1.0 else None, machine.capacity(now)
+        ends_at = None if machine.occupied_slots >= machine.slots else now
+        fails = ends_at is not None and any(
+            fleet.host_rngs[self.host].random() < s for s in machine.error_shares
+        )
+        if ends_at is not None and not fails:
+            ends_at = machine.accept(now, cost)
         fleet.wire.append(
             Got(
-                now - late,
-                self.number,
+                now - delay,
+                self.host,
                 tx,
                 cost,
                 capacity,
                 cold,
-                ends is not None,
+                ends_at is not None,
                 self.proxy,
-                left,
+                sent_at,
                 float(fields["request-timeout"]) if "request-timeout" in fields else None,
             )
         )
-        if ends is None:
-            self.say(503, more="Not-Started: 1\r\n")
+        if ends_at is None:
+            self.send_answer(503, extra_headers="Not-Started: 1\r\n")
         elif fails:
-            fleet.ended(self.number, tx)
-            self.say(500)
+            fleet.note_attempt_done(self.host, tx)
+            self.send_answer(500)
         else:
-            asyncio.get_running_loop().call_later(ends - now, self.done, machine, machine.life, tx)
+            asyncio.get_running_loop().call_later(ends_at - now, self.finish_work, machine, machine.life, tx)
 
-    def done(self, machine: Machine, life: int, tx: str) -> None:
-        machine.done(life)
+    def finish_work(self, machine: Machine, life: int, tx: str) -> None:
+        machine.release(life)
         if life == machine.life:
-            self.fleet.ended(self.number, tx)
-        chance = self.fleet.chance[self.number]
-        lost = any(chance.random() < share for share in machine.losing)
-        if life != machine.life or machine.silent or lost:
+            self.fleet.note_attempt_done(self.host, tx)
+        rng = self.fleet.host_rngs[self.host]
+        answer_lost = any(rng.random() < share for share in machine.answer_loss_shares)
+        if life != machine.life or machine.silent or answer_lost:
             return
-        body = f"{tx} by {self.number}".encode()
-        spoilt = [fault for fault in self.fleet.spoiling[self.number] if chance.random() < fault.share]
-        if spoilt:
-            return self.spoil(spoilt[0].how, body)
-        self.say(200, body)
+        body = f"{tx} by {self.host}".encode()
+        active_faults = [fault for fault in self.fleet.answer_faults[self.host] if rng.random() < fault.share]
+        if active_faults:
+            return self.send_spoilt_answer(active_faults[0].how, body)
+        self.send_answer(200, body)
 
-    def spoil(self, how: str, body: bytes) -> None:
+    def send_spoilt_answer(self, how: str, body: bytes) -> None:
         """An answer that is none, or one too many."""
         if self.transport.is_closing():
             return
         if how == "twice":
-            self.say(200, body)
-            asyncio.get_running_loop().call_later(AGAIN, self.say_again, body, self.fleet.clock())
+            self.send_answer(200, body)
+            asyncio.get_running_loop().call_later(
+                DUPLICATE_DELAY_S, self.send_duplicate, body, self.fleet.clock()
+            )
         elif how == "garbage":
             self.transport.write(GARBAGE)
         else:
-            length = len(body) + MISSING
+            length = len(body) + MISSING_BYTES
             self.transport.write(f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n".encode() + body)
             if how == "reset":
                 self.reset()
@@ -145,49 +151,49 @@
 class HostListener:
     """One listening socket of an endpoint; `hold` fills its backlog, so that SYNs are dropped."""
 
-    def __init__(self, fleet, number: int, proxy: int, port: int) -> None:
-        self.connect = partial(HostEnd, fleet, number, proxy)
+    def __init__(self, fleet, host: int, proxy: int, port: int) -> None:
+        self.make_protocol = partial(HostConnection, fleet, host, proxy)
         self.socket = socket.create_server((loopback.ADDRESS, port), backlog=BACKLOG)
         self.socket.setblocking(False)
         self.port = self.socket.getsockname()[1]
         self.fillers: list[socket.socket] = []
         self.tasks: set[asyncio.Task] = set()  # of connections that are being taken; emptied as they are
-        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.readable)
+        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.on_readable)
 
-    def waiting(self) -> list[socket.socket]:
+    def accept_waiting(self) -> list[socket.socket]:
         """Whoever is in the backlog."""
-        found = []
+        accepted = []
         with suppress(OSError):  # nobody more
-            while len(found) < BACKLOG:
-                found.append(self.socket.accept()[0])
-        return found
+            while len(accepted) < BACKLOG:
+                accepted.append(self.socket.accept()[0])
+        return accepted
 
-    def readable(self) -> None:
+    def on_readable(self) -> None:
         loop = asyncio.get_running_loop()
-        for taken in self.waiting():
-            taken.setblocking(False)
-            taken.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = loop.create_task(loop.connect_accepted_socket(self.connect, taken))
+        for accepted in self.accept_waiting():
+            accepted.setblocking(False)
+            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            task = loop.create_task(loop.connect_accepted_socket(self.make_protocol, accepted))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    def hold(self) -> None:
+    def fill_backlog(self) -> None:
         asyncio.get_running_loop().remove_reader(self.socket.fileno())
-        self.readable()
+        self.on_readable()
         self.socket.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((loopback.ADDRESS, self.port))
             self.fillers.append(filler)
 
-    def release(self) -> None:
+    def reopen_backlog(self) -> None:
         self.drop_fillers()
-        for taken in self.waiting():  # it can't be known when they wrote
-            taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
-            taken.close()
+        for accepted in self.accept_waiting():  # it can't be known when they wrote
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            accepted.close()
         self.socket.listen(BACKLOG)
-        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.readable)
+        asyncio.get_running_loop().add_reader(self.socket.fileno(), self.on_readable)
 
     def drop_fillers(self) -> None:
         for filler in self.fillers:
--- a/basalthook/lab/messages.py
+++ b/basalthook/lab/messages.py
@@ -9,9 +9,9 @@
 import struct
 import sys
 
-PEER_ENDED = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere only what poll(2) tells unasked
-LINGER_NONE = struct.pack("ii", 1, 0)  # struct linger: close sends a reset
-LAST_DATA_RECEIVED = struct.Struct("@52xI")  # of struct tcp_info: tcpi_last_data_recv, milliseconds
+PEER_CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere only what poll(2) tells unasked
+LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: close sends a reset
+LAST_DATA_RECEIVED_MS = struct.Struct("@52xI")  # of struct tcp_info: tcpi_last_data_recv, milliseconds
 FIELD = re.compile(rb"\r\n([!-9;-~]+): *([^\r\n]*)")
 
 
@@ -19,31 +19,34 @@
     """Whole messages, sized by Content-Length or without a body: `message(first line, fields, body)`."""
 
     def __init__(self) -> None:
-        self.rest, self.transport = b"", None
+        self.buffer, self.transport = b"", None
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        while (end := self.rest.find(b"\r\n\r\n")) >= 0:
-            fields = {n.lower().decode(): v.decode("latin-1") for n, v in FIELD.findall(self.rest, 0, end)}
-            whole = end + 4 + int(fields.get("content-length", 0))
-            if len(self.rest) < whole:
+        self.buffer += data
+        while (end := self.buffer.find(b"\r\n\r\n")) >= 0:
+            fields = {n.lower().decode(): v.decode("latin-1") for n, v in FIELD.findall(self.buffer, 0, end)}
+            message_end = end + 4 + int(fields.get("content-length", 0))
+            if len(self.buffer) < message_end:
                 return
-            first, body = self.rest[: self.rest.find(b"\r\n")].decode("latin-1"), self.rest[end + 4 : whole]
-            self.rest = self.rest[whole:]
-            self.message(first, fields, body)
+            first_line, body = (
+                self.buffer[: self.buffer.find(b"\r\n")].decode("latin-1"),
+                self.buffer[end + 4 : message_end],
+            )
+            self.buffer = self.buffer[message_end:]
+            self.message_received(first_line, fields, body)
 
-    def peer_ended(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the peer has ended the connection, seen also before this process has read so."""
         if self.transport.is_closing():
             return True
-        looked_for = select.poll()
-        looked_for.register(self.transport.get_extra_info("socket"), PEER_ENDED)
-        return bool(looked_for.poll(0))
+        poller = select.poll()
+        poller.register(self.transport.get_extra_info("socket"), PEER_CLOSED_EVENTS)
+        return bool(poller.poll(0))
 
-    def read_late(self) -> float:
+    def read_delay(self) -> float:
         """Seconds for which the newest bytes had lain in the kernel.
 
         A busy lab reads late, and judges by when they came.
@@ -52,19 +55,19 @@
             return 0.0
         sock = self.transport.get_extra_info("socket")
         try:
-            info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
+            info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_MS.size)
         except OSError:  # it has ended meanwhile
             return 0.0
-        return LAST_DATA_RECEIVED.unpack(info)[0] / 1000
+        return LAST_DATA_RECEIVED_MS.unpack(info)[0] / 1000
 
-    def answer(self, status: int, body: bytes = b"", more: str = "") -> None:
+    def answer(self, status: int, body: bytes = b"", extra_headers: str = "") -> None:
         if not self.transport.is_closing():
-            head = f"HTTP/1.1 {status} Stated\r\n{more}Content-Length: {len(body)}\r\n\r\n"
+            head = f"HTTP/1.1 {status} Stated\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n"
             self.transport.write(head.encode() + body)
 
     def reset(self) -> None:
         """End the connection as a process does that has lost it: with RST, not with FIN."""
         if not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.transport.abort()
--- a/basalthook/lab/model.py
+++ b/basalthook/lab/model.py
@@ -3,14 +3,17 @@
 from heapq import heapreplace
 
 
-def machines(told) -> tuple[list["Machine"], list[str]]:
+def build_machines(scenario) -> tuple[list["Machine"], list[str]]:
     """The machines of a scenario, and their zones."""
-    made = [
-        (Machine(kind, told.rules, told.key_memory, told.key_saves), kind.zones[n % len(kind.zones)])
-        for kind in told.hosts
+    built = [
+        (
+            Machine(kind, scenario.rules, scenario.key_memory, scenario.key_saves),
+            kind.zones[n % len(kind.zones)],
+        )
+        for kind in scenario.hosts
         for n in range(kind.count)
     ]
-    return [machine for machine, _ in made], [zone for _, zone in made]
+    return [machine for machine, _ in built], [zone for _, zone in built]
 
 
 class Machine:
@@ -20,52 +23,64 @@
     evenly, after `cold_time` seconds; work begun at a time runs at that time's pace to its end.
     """
 
-    KEYS_KEPT = 5_000  # keys remembered; the oldest goes first
+    MAX_KEYS = 5_000  # keys remembered; the oldest goes first
 
-    def __init__(self, kind, rules, memory: float, saves: float) -> None:
+    def __init__(self, kind, rules, key_memory: float, key_savings: float) -> None:
         self.cores, self.speed, self.slots, self.rules = kind.cores, kind.speed, kind.slots, rules
-        self.choke, self.choke_slow, self.memory, self.saves = kind.choke, kind.choke_slow, memory, saves
-        self.slowed, self.silent, self.gone = 1.0, 0, 0  # by faults; these may overlap
-        self.erring, self.losing = [], []  # shares of what it fails, and of answers that are lost
+        self.choke, self.choke_slow, self.key_memory, self.key_savings = (
+            kind.choke,
+            kind.choke_slow,
+            key_memory,
+            key_savings,
+        )
+        self.slowdown, self.silent, self.vanished = 1.0, 0, 0  # by faults; these may overlap
+        self.error_shares, self.answer_loss_shares = (
+            [],
+            [],
+        )  # shares of what it fails, and of answers that are lost
         self.life = 0  # processes started here so far
         self.start(None)
 
     def start(self, now: float | None) -> None:
         """A new process; None: it has run for long."""
-        self.started, self.held, self.known, self.life = now, 0, {}, self.life + 1
+        self.started_at, self.occupied_slots, self.key_last_seen, self.life = now, 0, {}, self.life + 1
         self.choked = False
-        self.free = [0.0] * self.cores  # a heap: when each core is free
+        self.core_free_at = [0.0] * self.cores  # a heap: when each core is free
 
     def warmth(self, now: float) -> float:
-        if self.started is None:
+        if self.started_at is None:
             return 1.0
-        age = (now - self.started) / self.rules.cold_time
+        age = (now - self.started_at) / self.rules.cold_time
         return min(1.0, self.rules.cold_share + (1 - self.rules.cold_share) * max(0.0, age))
 
     def capacity(self, now: float) -> float:
-        slower = self.slowed * (self.choke_slow if self.choked else 1.0)
-        return self.cores * self.speed * self.warmth(now) / slower
+        slow_factor = self.slowdown * (self.choke_slow if self.choked else 1.0)
+        return self.cores * self.speed * self.warmth(now) / slow_factor
 
     def cost(self, now: float, key: str, work: float) -> float:
         """What it costs here: less where the key was met lately."""
-        met = self.known.pop(key, None)
-        self.known[key] = now
-        if len(self.known) > self.KEYS_KEPT:
-            del self.known[next(iter(self.known))]
-        return work * (1 - self.saves) if met is not None and now - met <= self.memory else work
+        last_seen = self.key_last_seen.pop(key, None)
+        self.key_last_seen[key] = now
+        if len(self.key_last_seen) > self.MAX_KEYS:
+            del self.key_last_seen[next(iter(self.key_last_seen))]
+        return (
+            work * (1 - self.key_savings)
+            if last_seen is not None and now - last_seen <= self.key_memory
+            else work
+        )
 
-    def take(self, now: float, cost: float) -> float | None:
+    def accept(self, now: float, cost: float) -> float | None:
         """When it will be done; None where no slot is free. `done` gives the slot back."""
-        if self.held >= self.slots:
+        if self.occupied_slots >= self.slots:
             return None
-        self.held += 1
-        self.choked |= self.choke is not None and self.held >= self.choke
-        begins = max(now, self.free[0])
-        ends = begins + cost * self.cores / self.capacity(begins)
-        heapreplace(self.free, ends)
-        return ends
+        self.occupied_slots += 1
+        self.choked |= self.choke is not None and self.occupied_slots >= self.choke
+        begins_at = max(now, self.core_free_at[0])
+        ends_at = begins_at + cost * self.cores / self.capacity(begins_at)
+        heapreplace(self.core_free_at, ends_at)
+        return ends_at
 
-    def done(self, life: int) -> None:
+    def release(self, life: int) -> None:
         """What a process began that is gone holds no slot of the next."""
-        self.held -= life == self.life
-        self.choked &= self.held > 0  # it has rested
+        self.occupied_slots -= life == self.life
+        self.choked &= self.occupied_slots > 0  # it has rested
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -3,8 +3,8 @@
 from collections import Counter, defaultdict
 
 from ..fleet import bounds
-from .judge import ROLLED_BACK, SLACK
-from .scenario import Scenario, bound
+from .judge import ROLLED_BACK_STATUSES, SOCKET_SLACK_S
+from .scenario import Scenario, program_limit
 from .wire import Answered, Asked, Done, Got
 
 EXACT = 0.001  # to which the part over is told
@@ -14,9 +14,9 @@
     """For each limit: the largest part over in any window, what the formula allows, and the part of it that
     was served in the seconds in which anybody was refused (None: nobody was)."""
     names, found = [p.name for p in told.load.profiles], {}
-    refused = {int(e.at) for e in wire if isinstance(e, Answered) and e.status in ROLLED_BACK}
+    refused = {int(e.at) for e in wire if isinstance(e, Answered) and e.status in ROLLED_BACK_STATUSES}
     for limit in told.fleet.limits:
-        rule = bound(limit, names)
+        rule = program_limit(limit, names)
         if rule.counts_places:
             most, used = held(wire, rule.amount, refused)
             over = max(0.0, most / rule.amount - 1) if rule.amount else float(most)
@@ -70,7 +70,7 @@
     """The least part by which amount and burst would have to be larger for no window to hold too many."""
 
     def fits(part: float) -> bool:
-        level, last, most = 0.0, times[0], (burst + amount * SLACK) * (1 + part)
+        level, last, most = 0.0, times[0], (burst + amount * SOCKET_SLACK_S) * (1 + part)
         for at in times:
             level = max(0.0, level - amount * (1 + part) * (at - last)) + 1
             last = at
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -25,13 +25,13 @@
 from .faults import ClockFault, LongWay, Maintain, StopProxy, Vanish
 from .load import Clients
 from .relays import Relays
-from .result import Result, found, mean_and_most
-from .scenario import BadScenario, Scenario, moments
+from .result import Result, build_result, mean_and_max
+from .scenario import Scenario, ScenarioError, fault_events
 from .standins import Fleet
-from .start import settings
+from .start import proxy_settings
 from .talking import keepers
 from .underclock import VARIABLE, worded
-from .wire import Excused
+from .wire import AnswerWaived
 
 LIBC = ctypes.CDLL(None) if sys.platform == "linux" else None
 PR_SET_PDEATHSIG = 1  # prctl(2)
@@ -74,20 +74,20 @@
         folder = self.folder / f"p{n}"
         folder.mkdir(exist_ok=True)
         zones = sorted(set(self.zones))
-        agreed = settings(self.told, n, zones[n % len(zones)])
-        agreed["allowed"]["peers"] = self.told.fleet is not None
+        agreed = proxy_settings(self.scenario, n, zones[n % len(zones)])
+        agreed["allowed"]["peers"] = self.scenario.fleet is not None
         start = {
             "name": f"p{n}",
             "listen": "127.0.0.1:0",
             "console": "127.0.0.1:0",
-            "discovery": self.discovery_at[n],
-            "seed": self.told.seed * 1000 + n,
+            "discovery": self.discovery_addresses[n],
+            "seed": self.scenario.seed * 1000 + n,
             "limits": {"sockets": SOCKETS},
-            "known": self.listing(range(self.told.size), True, n),
+            "known": self.host_list(range(self.scenario.host_count), True, n),
             "settings": agreed,
         }
         (folder / "start.json").write_bytes(orjson.dumps(start))
-        if self.told.fleet is not None:
+        if self.scenario.fleet is not None:
             key = folder / "key"
             key.write_bytes(KEY)
             key.chmod(0o600)
@@ -97,11 +97,11 @@
                 f"seeds = {seeds}",
                 'key_file = "key"',
                 f'address = "127.0.0.1:{self.relays.told[n][1]}"',
-                f"shares = {self.told.fleet.shares}",
+                f"shares = {self.scenario.fleet.shares}",
             ]
-            if self.told.fleet.limits:
-                lines.append(f"keepers = {keepers(self.told.proxies)}")
-            for limit in self.told.fleet.limits:
+            if self.scenario.fleet.limits:
+                lines.append(f"keepers = {keepers(self.scenario.proxies)}")
+            for limit in self.scenario.fleet.limits:
                 lines.append("[[limits]]")
                 lines += [
                     f"{name} = {orjson.dumps(value).decode()}"
@@ -112,17 +112,17 @@
 
     async def start(self, n: int) -> None:
         folder = await asyncio.to_thread(self.files, n)  # a slow disk must not hold up what is measured
-        self.begins(n)
+        self.note_proxy_started(n)
         environ = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
         module, clocks = "basalthook", self.clocks_of(n)
         if clocks:
             module, environ[VARIABLE] = "basalthook.lab.underclock", worded(clocks)
-        if self.told.system_calls is not None:
-            chances = msgspec.structs.replace(self.told.system_calls, seed=self.told.seed * 1000 + n)
+        if self.scenario.system_calls is not None:
+            chances = msgspec.structs.replace(self.scenario.system_calls, seed=self.scenario.seed * 1000 + n)
             module = "basalthook.lab.underclock"
             environ[syscalls.VARIABLE] = msgspec.json.encode(chances).decode()
         call = [sys.executable, "-m", module, "serve", "--file", str(folder / "start.json")]
-        if self.told.fleet is not None:
+        if self.scenario.fleet is not None:
             call += ["--fleet", str(folder / "fleet.toml")]
         errors = await asyncio.to_thread(open, folder / "stderr", "ab")
         process = await asyncio.create_subprocess_exec(
@@ -148,7 +148,7 @@
 
         return [
             (moment(f.at) if f.at else 0, moment(f.at + f.lasts), f.ahead, f.rate)
-            for f in self.told.faults
+            for f in self.scenario.faults
             if isinstance(f, ClockFault) and n in f.proxies
         ]
 
@@ -172,12 +172,12 @@
     def excuse(self, n: int) -> None:
         """What is open at a process that is about to be killed or stopped can't be answered by anyone."""
         self.addresses[n] = None
-        for client in self.clients.all:
-            if client.proxy == n and client.asked is not None:
-                self.wire.append(Excused(self.clock(), client.asked.tx))
-        for client in self.clients.free[n]:
+        for client in self.clients.connections:
+            if client.proxy == n and client.open_request is not None:
+                self.wire.append(AnswerWaived(self.clock(), client.open_request.tx))
+        for client in self.clients.idle_connections[n]:
             client.transport.close()
-        self.clients.free[n].clear()
+        self.clients.idle_connections[n].clear()
 
     # ---- faults of proxies
 
@@ -194,7 +194,7 @@
             return
         signalled(process, signal.SIGTERM)
         loop.call_later(NEW_ON, self.addresses.__setitem__, n, None)
-        longest = max(profile.hard_limit for profile in self.told.load.profiles)
+        longest = max(profile.hard_limit for profile in self.scenario.load.profiles)
         loop.call_later(longest + KILL_AFTER, self.kill_terminated, n, process)
 
     def kill_terminated(self, n: int, process) -> None:
@@ -220,7 +220,7 @@
             await asyncio.to_thread(self.files, n)
             if self.running[n] is None or self.running[n].returncode is not None:
                 return
-            self.moved[n] = self.clock()
+            self.discovery_moved_at[n] = self.clock()
             signalled(self.running[n], signal.SIGHUP)
             await asyncio.sleep(pause)
 
@@ -249,8 +249,8 @@
 
     def later(self, work) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self.calls.add(task)
-        task.add_done_callback(self.calls.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     async def end(self) -> None:
         for process in self.running:
@@ -262,7 +262,7 @@
             if process is not None and process.returncode is None:
                 signalled(process, signal.SIGKILL)
                 await process.wait()
-        for n in range(self.told.proxies):
+        for n in range(self.scenario.proxies):
             errors = self.folder / f"p{n}" / "stderr"
             if errors.exists() and (text := errors.read_text("utf-8", "replace")):
                 self.faults.append({"proxy": n, "stderr": text[-500:]})
@@ -273,7 +273,7 @@
 
     def figures(self, begin: float) -> dict:
         """`staleness` is of the proxies' own logs against what the relays saw; messages are the relays'."""
-        relays, seconds, count = self.relays, self.told.seconds, self.told.proxies
+        relays, seconds, count = self.relays, self.scenario.seconds, self.scenario.proxies
         staleness, over = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
         for at, n, event, fields in self.said:
             for mark in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
@@ -295,13 +295,13 @@
             "younger": len(relays.younger),
             **self.spread(begin),
             "false_suspicions": false,
-            "messages": {"datagrams_s": mean_and_most(sent), "bytes_s": mean_and_most(rates)},
+            "messages": {"datagrams_s": mean_and_max(sent), "bytes_s": mean_and_max(rates)},
         }
 
     def acted(self, at: float, n: int, fields: dict) -> float:
         """When a proxy did what it says: when the line was read; or, as a line may lie in a process that is
         stopped, when that one says, if it was stopped just before."""
-        for fault in self.told.faults:
+        for fault in self.scenario.faults:
             back = self.begin_at + fault.at + fault.lasts
             if isinstance(fault, StopProxy) and n in fault.proxies and back <= at < back + 2 * LOOK:
                 return min(at, fields["at"] - self.wall_ahead)
@@ -310,7 +310,7 @@
     def alive(self, name: str, at: float) -> bool:
         """Whether the rig knew this proxy as running then, and cut off from nobody."""
         since = at - self.begin_at
-        for fault in self.told.faults:
+        for fault in self.scenario.faults:
             hit = int(name[1:]) in getattr(fault, "proxies", ()) or getattr(fault, "cuts", False)
             if hit and fault.at <= since <= fault.at + fault.lasts + HEALED:
                 return False
@@ -319,7 +319,7 @@
     def spread(self, begin: float) -> dict:
         """For each fault, seconds until the first and the last member that runs has one of its hosts out."""
         detect, agree = [], []
-        for fault in self.told.faults:
+        for fault in self.scenario.faults:
             first: dict[str, dict[int, float]] = {}
             for at, n, event, fields in self.said:
                 host = fields.get("id", "")
@@ -330,7 +330,7 @@
                     and (host.startswith("host-") and int(host[5:]) in fault.hosts)
                 ):
                     first.setdefault(host, {}).setdefault(n, at - begin - fault.at)
-            whole = [max(seen.values()) for seen in first.values() if len(seen) == self.told.proxies]
+            whole = [max(seen.values()) for seen in first.values() if len(seen) == self.scenario.proxies]
             detect.append(round(min(min(seen.values()) for seen in first.values()), 3) if first else None)
             agree.append(round(max(whole), 3) if whole and len(whole) == len(first) else None)
         return {"detect_s": detect, "agree_s": agree}
@@ -358,7 +358,7 @@
 def play(told: Scenario, keep: list | None = None) -> Result:
     """`keep`: takes the rig, for whoever wants to look closer."""
     if any(isinstance(fault, Vanish | LongWay | Maintain) for fault in told.faults):
-        raise BadScenario(f"{told.name}: no vanish, long_way or maintain at depth `processes`")
+        raise ScenarioError(f"{told.name}: no vanish, long_way or maintain at depth `processes`")
     return asyncio.run(_play(told, keep))
 
 
@@ -375,9 +375,9 @@
         await asyncio.sleep(begin - loop.time())
         late = [f"p{n}" for n, address in enumerate(rig.addresses) if address is None]
         if late:
-            raise BadScenario(f"{told.name}: not ready in time: {', '.join(late)}; {rig.faults[:1]}")
-        to_come = [loop.call_at(begin + at, act, rig, *given) for at, act, given in moments(told.faults)]
-        work = loop.create_task(clients.run(told.seconds, told.rate))
+            raise ScenarioError(f"{told.name}: not ready in time: {', '.join(late)}; {rig.faults[:1]}")
+        to_come = [loop.call_at(begin + at, act, rig, *given) for at, act, given in fault_events(told.faults)]
+        work = loop.create_task(clients.run(told.seconds, told.rate_at))
         await work
     finally:
         if work is not None:
@@ -391,4 +391,4 @@
     talk = rig.figures(begin) if told.fleet else None
     if told.fleet and told.fleet.limits:
         talk["limits"] = overrun.figures(sorted(wire, key=lambda e: e.at), told)
-    return found(told, wire, begin, "processes", rig.faults, talk=talk)
+    return build_result(told, wire, begin, "processes", rig.faults, fleet_figures=talk)
--- a/basalthook/lab/scenario.py
+++ b/basalthook/lab/scenario.py
@@ -16,11 +16,11 @@
 from .syscalls import Chances
 
 
-class BadScenario(Exception):
+class ScenarioError(Exception):
     """Says file, path and what was expected, in one line."""
 
 
-class Kind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class HostKind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Hosts of one make."""
 
     count: Count
@@ -94,7 +94,7 @@
     floor: Share = 0.0  # part that proxies have without any message
 
 
-class Shares(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class FleetConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """What the proxies hold together; without it nobody talks."""
 
     shares: Annotated[
@@ -106,11 +106,11 @@
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     name: str
     seconds: Positive
-    hosts: Annotated[list[Kind], msgspec.Meta(min_length=1)]
+    hosts: Annotated[list[HostKind], msgspec.Meta(min_length=1)]
     load: Load
     rules: Rules = msgspec.field(default_factory=Rules)
     faults: list[AnyFault] = msgspec.field(default_factory=list)
-    fleet: Shares | None = None
+    fleet: FleetConfig | None = None
     network: Network = msgspec.field(default_factory=Network)
     proxies: Count = 1  # at depth `sockets` there is one
     discovery: Discovery = msgspec.field(default_factory=Discovery)
@@ -121,16 +121,16 @@
     keepalive: Positive = 30.0
     system_calls: Chances | None = None  # that fail in every proxy; on processes alone
 
-    def rate(self, at: float) -> float:
+    def rate_at(self, at: float) -> float:
         """Transactions a second, so many seconds after the start."""
-        return self.load.rate * math.prod(f.of(at) for f in self.faults if isinstance(f, Burst))
+        return self.load.rate * math.prod(f.factor_at(at) for f in self.faults if isinstance(f, Burst))
 
     @property
-    def size(self) -> int:
+    def host_count(self) -> int:
         return sum(kind.count for kind in self.hosts)
 
 
-def moments(faults) -> list[tuple]:
+def fault_events(faults) -> list[tuple]:
     """(seconds from the start, act, what it is given after the fleet) of every beginning and end."""
     found = []
     for fault in faults:
@@ -144,7 +144,7 @@
     return found
 
 
-def bound(limit: Limit, names: list[str]) -> bounds.Limit:
+def program_limit(limit: Limit, names: list[str]) -> bounds.Limit:
     """As the program has it; `names`: of the profiles, in order."""
     return bounds.Limit(
         limit.name,
@@ -158,11 +158,11 @@
 
 
 def load(path: str | Path) -> Scenario:
-    """The scenario in this file, or BadScenario; a half-valid one is none."""
+    """The scenario in this file, or ScenarioError; a half-valid one is none."""
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as fault:
-        raise BadScenario(f"{path}: cannot be read: {getattr(fault, 'strerror', None) or fault}") from None
+        raise ScenarioError(f"{path}: cannot be read: {getattr(fault, 'strerror', None) or fault}") from None
     return parse(text, str(path))
 
 
@@ -170,49 +170,49 @@
     try:
         found = msgspec.convert(tomllib.loads(text), Scenario)
     except tomllib.TOMLDecodeError as fault:
-        raise BadScenario(f"{path}: no TOML: {fault}") from None
+        raise ScenarioError(f"{path}: no TOML: {fault}") from None
     except msgspec.ValidationError as fault:
-        raise BadScenario(f"{path}: {fault}") from None
+        raise ScenarioError(f"{path}: {fault}") from None
     for n, fault in enumerate(found.faults):
         for which, number in enumerate(fault.hosts):
-            if number >= found.size:
-                raise BadScenario(
-                    f"{path}: Expected a host from 0 to {found.size - 1}, got {number} - at "
+            if number >= found.host_count:
+                raise ScenarioError(
+                    f"{path}: Expected a host from 0 to {found.host_count - 1}, got {number} - at "
                     f"`$.faults[{n}].hosts[{which}]`"
                 )
         for which, number in enumerate(getattr(fault, "proxies", ())):
             if number >= found.proxies:
-                raise BadScenario(
+                raise ScenarioError(
                     f"{path}: Expected a proxy from 0 to {found.proxies - 1}, got {number} - "
                     f"at `$.faults[{n}].proxies[{which}]`"
                 )
         for side, ends in enumerate(getattr(fault, "between", ())):
             for which, name in enumerate(ends):
                 try:
-                    links.ends(name, found.proxies, found.size)
+                    links.ends(name, found.proxies, found.host_count)
                 except links.BadName as wrong:
                     at = f"$.faults[{n}].between[{side}][{which}]"
-                    raise BadScenario(f"{path}: {wrong} - at `{at}`") from None
+                    raise ScenarioError(f"{path}: {wrong} - at `{at}`") from None
     names = [profile.name for profile in found.load.profiles]
     if found.fleet and bool(found.fleet.limits) != ("limits" in found.fleet.shares):
-        raise BadScenario(
+        raise ScenarioError(
             f"{path}: Expected `limits` in shares where there are some, and only there - at `$.fleet.shares`"
         )
     for n, limit in enumerate(found.fleet.limits if found.fleet else ()):
         wrong = (
-            bounds.invalid_reason(bound(limit, names))
+            bounds.invalid_reason(program_limit(limit, names))
             if set(limit.profiles) <= set(names)
             else (f"Expected profiles of this scenario, got {limit.profiles}")
         )
         if wrong:
-            raise BadScenario(f"{path}: {wrong} - at `$.fleet.limits[{n}]`")
+            raise ScenarioError(f"{path}: {wrong} - at `$.fleet.limits[{n}]`")
     for n, profile in enumerate(found.load.profiles):
         if profile.name in names[:n]:
-            raise BadScenario(
+            raise ScenarioError(
                 f"{path}: Expected a name of its own, got {profile.name!r} - at `$.load.profiles[{n}].name`"
             )
         if profile.hard_limit < profile.service_goal:
-            raise BadScenario(
+            raise ScenarioError(
                 f"{path}: Expected no less than the service goal, got {profile.hard_limit} - "
                 f"at `$.load.profiles[{n}].hard_limit`"
             )
--- a/basalthook/lab/soak.py
+++ b/basalthook/lab/soak.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from . import faults
-from .scenario import Discovery, Kind, Load, Profile, Rules, Scenario
+from .scenario import Discovery, HostKind, Load, Profile, Rules, Scenario
 from .syscalls import Chances
 
 SECONDS = 14.0  # of load; faults begin within the first `FAULTS`
@@ -58,7 +58,7 @@
     return Scenario(
         name=f"soak-{seed}",
         seconds=SECONDS,
-        hosts=[Kind(count=HOSTS, zones=["a", "b"])],
+        hosts=[HostKind(count=HOSTS, zones=["a", "b"])],
         load=load,
         rules=Rules(drain_grace=random.choice((0.3, 0.5)), answer_late=ANSWER_LATE),
         discovery=discovery,
@@ -76,7 +76,7 @@
     found = []
     if random.random() < 0.8:
         found.append(
-            faults.DiscoveryFails(
+            faults.DiscoveryFault(
                 at=random.uniform(0, 3),
                 lasts=random.uniform(0.5, 5),
                 how=random.choice(("refuses", "down", "slow")),
--- a/basalthook/lab/standins.py
+++ b/basalthook/lab/standins.py
@@ -10,105 +10,121 @@
 from random import Random
 
 from . import loopback
-from .deadlines import SILENCE, ProxyView, counts_at
-from .discovery import DiscoveryEnd
-from .endpoints import HostEnd, HostListener
+from .deadlines import WATCH_SILENCE_S, ProxyView, deemed_known_at
+from .discovery import DiscoveryConnection
+from .endpoints import HostConnection, HostListener
 from .links import Links
-from .model import machines
+from .model import build_machines
 from .scenario import Scenario
-from .wire import Done, Ordered, Told
+from .wire import Done, HostOrdered, HostStateSent
 
 
 class Fleet:
     """All hosts of a scenario and their discovery; faults act on it."""
 
-    def __init__(self, told: Scenario, wire: list, clock, seed: int, proxies: int = 1) -> None:
+    def __init__(self, scenario: Scenario, wire: list, clock, seed: int, proxies: int = 1) -> None:
         """`clock()`: seconds, the same for all that note what crossed. Each host has a chance of its own."""
-        self.told, self.wire, self.clock, self.count = told, wire, clock, proxies
-        self.links = Links(seed, proxies, told.size)
-        self.machines, self.zones = machines(told)
-        count = len(self.machines)
-        self.chance = [Random(f"host {n} of {seed}") for n in range(count)]
-        self.ends: list[set[HostEnd]] = [set() for _ in range(count)]
-        self.servers: list[list[HostListener]] = [[] for _ in range(count)]  # by host and proxy
-        self.resting: list[list] = [[] for _ in range(count)]  # faults of idle connections, by host
-        self.spoiling: list[list] = [[] for _ in range(count)]  # faults of answers, by host
-        self.ports = [[0] * proxies for _ in range(count)]
-        self.states, self.changed, self.version = ["up"] * count, [1] * count, 1
-        self.started_ms = [0] * count
-        self.watches: set[DiscoveryEnd] = set()  # emptied as they are answered or end
-        self.watching: set[DiscoveryEnd] = set()  # connections to discovery, emptied as they end
-        self.to_silence = [0] * proxies  # so many of the next of each are silent
-        self.last_call = [0.0] * proxies
-        self.failed = [False] * proxies  # the last call of each was refused, or could not be made
-        self.moved: list[float | None] = [None] * proxies  # when its discovery moved, until that one answers
+        self.scenario, self.wire, self.clock, self.proxy_count = scenario, wire, clock, proxies
+        self.links = Links(seed, proxies, scenario.host_count)
+        self.machines, self.zones = build_machines(scenario)
+        number_of_hosts = len(self.machines)
+        self.host_rngs = [Random(f"host {n} of {seed}") for n in range(number_of_hosts)]
+        self.host_connections: list[set[HostConnection]] = [set() for _ in range(number_of_hosts)]
+        self.listeners: list[list[HostListener]] = [[] for _ in range(number_of_hosts)]  # by host and proxy
+        self.idle_faults: list[list] = [
+            [] for _ in range(number_of_hosts)
+        ]  # faults of idle connections, by host
+        self.answer_faults: list[list] = [[] for _ in range(number_of_hosts)]  # faults of answers, by host
+        self.ports = [[0] * proxies for _ in range(number_of_hosts)]
+        self.states, self.changed_in_version, self.version = (
+            ["up"] * number_of_hosts,
+            [1] * number_of_hosts,
+            1,
+        )
+        self.started_ms = [0] * number_of_hosts
+        self.pending_watches: set[DiscoveryConnection] = set()  # emptied as they are answered or end
+        self.discovery_connections: set[DiscoveryConnection] = (
+            set()
+        )  # connections to discovery, emptied as they end
+        self.watches_to_silence = [0] * proxies  # so many of the next of each are silent
+        self.last_call_at = [0.0] * proxies
+        self.last_call_failed = [False] * proxies  # the last call of each was refused, or could not be made
+        self.discovery_moved_at: list[float | None] = [
+            None
+        ] * proxies  # when its discovery moved, until that one answers
         self.discovery_delay = 0.0  # seconds until discovery looks at a call
-        self.failing = ""  # how discovery fails at present
-        self.lists = ""  # how its lists are not as usual
-        self.sound_since = -SILENCE  # when lists were last sound again
-        self.changed_at = [0.0] * count
-        self.unsound: list[tuple[int, int, str]] = []  # what would have counted while they were not sound
-        self.reachable = 0.0  # since when it has worked
-        self.untold: list[tuple[int, str]] = []  # changes made while it failed; emptied when it works
+        self.discovery_failure = ""  # how discovery fails at present
+        self.list_fault = ""  # how its lists are not as usual
+        self.lists_sound_since = -WATCH_SILENCE_S  # when lists were last sound again
+        self.changed_at = [0.0] * number_of_hosts
+        self.deferred_changes: list[
+            tuple[int, int, str]
+        ] = []  # what would have counted while they were not sound
+        self.discovery_reachable_since = 0.0  # since when it has worked
+        self.unpublished_changes: list[
+            tuple[int, str]
+        ] = []  # changes made while it failed; emptied when it works
         self.console: tuple[str, int] | None = None  # the proxy's second address
-        self.calls: set[asyncio.Task] = set()  # of the staff, emptied as they are answered
+        self.background_tasks: set[asyncio.Task] = set()  # of the staff, emptied as they are answered
 
     async def open(self) -> None:
-        for number in range(len(self.machines)):
-            await self.listen(number)
-        self.discovery, self.discovery_at = [], [""] * self.count
-        for proxy in range(self.count):
+        for host in range(len(self.machines)):
+            await self.listen(host)
+        self.discovery_servers, self.discovery_addresses = [], [""] * self.proxy_count
+        for proxy in range(self.proxy_count):
             await self.open_discovery(proxy)
 
     async def open_discovery(self, proxy: int) -> None:
         """Another address of discovery for this proxy; those before it go on serving."""
-        server = await asyncio.get_running_loop().create_server(
-            partial(DiscoveryEnd, self, proxy), loopback.ADDRESS, 0
+        listener = await asyncio.get_running_loop().create_server(
+            partial(DiscoveryConnection, self, proxy), loopback.ADDRESS, 0
         )
-        self.discovery.append(server)
-        self.discovery_at[proxy] = f"{loopback.ADDRESS}:{server.sockets[0].getsockname()[1]}"
+        self.discovery_servers.append(listener)
+        self.discovery_addresses[proxy] = f"{loopback.ADDRESS}:{listener.sockets[0].getsockname()[1]}"
 
-    async def listen(self, number: int) -> None:
-        for proxy, port in enumerate(self.ports[number]):
-            server = HostListener(self, number, proxy, port)
-            self.servers[number].append(server)
-            self.ports[number][proxy] = server.port
+    async def listen(self, host: int) -> None:
+        for proxy, port in enumerate(self.ports[host]):
+            listener = HostListener(self, host, proxy, port)
+            self.listeners[host].append(listener)
+            self.ports[host][proxy] = listener.port
 
-    def hold(self, number: int) -> None:
-        for server in self.servers[number]:
-            server.hold()
+    def fill_backlogs(self, host: int) -> None:
+        for listener in self.listeners[host]:
+            listener.fill_backlog()
 
-    def release(self, number: int) -> None:
-        for server in self.servers[number]:
-            server.release()
+    def reopen_backlogs(self, host: int) -> None:
+        for listener in self.listeners[host]:
+            listener.reopen_backlog()
 
-    def serving(self, number: int) -> bool:
-        return bool(self.servers[number])
+    def is_listening(self, host: int) -> bool:
+        return bool(self.listeners[host])
 
-    def deaf(self, number: int) -> None:
-        for server in self.servers[number]:
-            server.close()
-        self.servers[number] = []
+    def stop_listening(self, host: int) -> None:
+        for listener in self.listeners[host]:
+            listener.close()
+        self.listeners[host] = []
 
-    def carry(self, source: str, target: str, call, *given) -> None:
+    def deliver(self, source: str, target: str, call, *args) -> None:
         """A message on its way, if it comes through."""
-        late = self.links.stream(source, target)
-        if late == 0:
-            call(*given)
-        elif late is not None:
-            asyncio.get_running_loop().call_later(late, call, *given)
+        delay = self.links.stream(source, target)
+        if delay == 0:
+            call(*args)
+        elif delay is not None:
+            asyncio.get_running_loop().call_later(delay, call, *args)
 
     def close(self) -> None:
-        for number in range(len(self.machines)):
-            self.deaf(number)
-        for server in self.discovery:
-            server.close()
-        for end in [end for ends in self.ends for end in ends] + list(self.watching):
-            end.transport.abort()
-
-    def listing(self, numbers, full: bool, proxy: int = 0) -> dict:
-        left_out = ("removed", "draining") if self.lists == "whole" else ("removed",)
-        lines = [
+        for host in range(len(self.machines)):
+            self.stop_listening(host)
+        for listener in self.discovery_servers:
+            listener.close()
+        for connection in [
+            connection for connections in self.host_connections for connection in connections
+        ] + list(self.discovery_connections):
+            connection.transport.abort()
+
+    def host_list(self, hosts, full: bool, proxy: int = 0) -> dict:
+        omitted_states = ("removed", "draining") if self.list_fault == "whole" else ("removed",)
+        entries = [
             {
                 "id": f"host-{n}",
                 "addr": f"{loopback.ADDRESS}:{self.ports[n][proxy]}",
@@ -118,139 +134,158 @@
                 "weight": self.machines[n].cores * self.machines[n].speed,
                 "started_ms": self.started_ms[n],
             }
-            for n in numbers
-            if not (full and self.states[n] in left_out)
+            for n in hosts
+            if not (full and self.states[n] in omitted_states)
         ]
-        return {"version": self.version, "full": full, "servers": lines}
+        return {"version": self.version, "full": full, "servers": entries}
 
-    def ended(self, number: int, tx: str) -> None:
+    def note_attempt_done(self, host: int, tx: str) -> None:
         """For the judge of limits, where there are any."""
-        if self.told.fleet is not None and self.told.fleet.limits:
-            self.wire.append(Done(self.clock(), number, tx))
+        if self.scenario.fleet is not None and self.scenario.fleet.limits:
+            self.wire.append(Done(self.clock(), host, tx))
 
-    def begins(self, proxy: int) -> None:
+    def note_proxy_started(self, proxy: int) -> None:
         """A new process of this proxy: it holds the list of its start-up file, and has called nobody."""
-        self.last_call[proxy], self.failed[proxy], self.moved[proxy] = self.clock(), False, None
-        self.wire += [Told(self.clock(), host, state, proxy) for host, state in enumerate(self.states)]
+        self.last_call_at[proxy], self.last_call_failed[proxy], self.discovery_moved_at[proxy] = (
+            self.clock(),
+            False,
+            None,
+        )
+        self.wire += [
+            HostStateSent(self.clock(), host, state, proxy) for host, state in enumerate(self.states)
+        ]
 
     # ---- what faults do
 
-    def list_as(self, number: int, state: str) -> None:
-        asyncio.get_running_loop().call_later(self.told.discovery.notice, self.change, number, state)
+    def list_as(self, host: int, state: str) -> None:
+        asyncio.get_running_loop().call_later(self.scenario.discovery.notice, self.change_state, host, state)
 
-    def change(self, number: int, state: str) -> None:
+    def change_state(self, host: int, state: str) -> None:
         self.version += 1
-        self.states[number], self.changed[number] = state, self.version
-        self.changed_at[number] = self.clock()
-        if self.failing:
-            self.untold.append((number, state))
+        self.states[host], self.changed_in_version[host] = state, self.version
+        self.changed_at[host] = self.clock()
+        if self.discovery_failure:
+            self.unpublished_changes.append((host, state))
             return
-        for proxy in range(self.count):
-            self.count_as_told(proxy, number, state)
-        for watch in list(self.watches):
-            if self.lists == "ends":
+        for proxy in range(self.proxy_count):
+            self.schedule_deemed_known(proxy, host, state)
+        for watch in list(self.pending_watches):
+            if self.list_fault == "ends":
                 watch.transport.close()
             else:
-                watch.tell(watch.waits)
+                watch.send_list(watch.watched_version)
 
-    def discovery_fails(self, how: str) -> None:
-        self.failing = how
-        for end in list(self.watching):
-            end.over()
+    def fail_discovery(self, how: str) -> None:
+        self.discovery_failure = how
+        for connection in list(self.discovery_connections):
+            connection.cancel_watch()
             if how == "refuses":
-                end.refuse()
+                connection.refuse()
             else:
-                end.transport.abort()
+                connection.transport.abort()
         if how == "down":
-            self.failed = [True] * self.count
+            self.last_call_failed = [True] * self.proxy_count
 
-    def discovery_works(self) -> None:
-        self.failing, self.reachable = "", self.clock()
-        changes, self.untold = self.untold, []
-        for number, state in changes:
-            for proxy in range(self.count):
-                self.count_as_told(proxy, number, state)
+    def restore_discovery(self) -> None:
+        self.discovery_failure, self.discovery_reachable_since = "", self.clock()
+        changes, self.unpublished_changes = self.unpublished_changes, []
+        for host, state in changes:
+            for proxy in range(self.proxy_count):
+                self.schedule_deemed_known(proxy, host, state)
 
-    def count_as_told(self, proxy: int, number: int, state: str) -> None:
+    def schedule_deemed_known(self, proxy: int, host: int, state: str) -> None:
         """News binds also where it does not arrive."""
-        now, ends = self.clock(), [end for end in self.watching if end.proxy == proxy]
-        silent = tuple(end.counts() for end in ends if end.silent is not None)
-        lost = self.lists in ("spoilt", "ends")  # what is written, or not, in the news' place
+        now, connections = (
+            self.clock(),
+            [connection for connection in self.discovery_connections if connection.proxy == proxy],
+        )
+        silent = tuple(
+            connection.silent_deadline() for connection in connections if connection.silent_since is not None
+        )
+        list_lost = self.list_fault in ("spoilt", "ends")  # what is written, or not, in the news' place
         view = ProxyView(
-            len(ends) > len(silent) and not self.failed[proxy] and not lost,
+            len(connections) > len(silent) and not self.last_call_failed[proxy] and not list_lost,
             silent,
-            self.last_call[proxy],
-            self.failed[proxy] or lost,
-            self.moved[proxy],
+            self.last_call_at[proxy],
+            self.last_call_failed[proxy] or list_lost,
+            self.discovery_moved_at[proxy],
+        )
+        discovery_config = self.scenario.discovery
+        known_at = deemed_known_at(
+            now,
+            self.discovery_reachable_since,
+            view,
+            discovery_config.mode == "pushed",
+            discovery_config.ask_within,
         )
-        mode = self.told.discovery
-        at = counts_at(now, self.reachable, view, mode.mode == "pushed", mode.ask_within)
-        if at is not None:
-            asyncio.get_running_loop().call_later(max(0.0, at - now), self.note_told, proxy, number, state)
+        if known_at is not None:
+            asyncio.get_running_loop().call_later(
+                max(0.0, known_at - now), self.note_state_known, proxy, host, state
+            )
 
-    def note_told(self, proxy: int, number: int, state: str) -> None:
-        if self.states[number] != state:  # it has changed again since
+    def note_state_known(self, proxy: int, host: int, state: str) -> None:
+        if self.states[host] != state:  # it has changed again since
             return
-        sound_for = self.clock() - self.sound_since
-        if self.lists == "spoilt":
-            self.unsound.append((proxy, number, state))
-        elif self.changed_at[number] < self.sound_since and sound_for < SILENCE:
-            wait = SILENCE - sound_for
-            asyncio.get_running_loop().call_later(wait, self.note_told, proxy, number, state)
+        sound_for = self.clock() - self.lists_sound_since
+        if self.list_fault == "spoilt":
+            self.deferred_changes.append((proxy, host, state))
+        elif self.changed_at[host] < self.lists_sound_since and sound_for < WATCH_SILENCE_S:
+            wait = WATCH_SILENCE_S - sound_for
+            asyncio.get_running_loop().call_later(wait, self.note_state_known, proxy, host, state)
         else:
-            self.wire.append(Told(self.clock(), number, state, proxy))
+            self.wire.append(HostStateSent(self.clock(), host, state, proxy))
 
-    def lists_sound(self) -> None:
+    def end_list_fault(self) -> None:
         """Whoever was told nothing sound has as long as after any other return of discovery."""
-        if self.lists == "spoilt":
-            self.sound_since = self.clock()
-        self.lists, unsound, self.unsound = "", self.unsound, []
-        for proxy, number, state in unsound:
-            self.note_told(proxy, number, state)
-
-    def watches_fail(self, silent: bool, more: int) -> None:
-        self.to_silence = [more] * self.count
-        for end in list(self.watching):
-            end.over()
+        if self.list_fault == "spoilt":
+            self.lists_sound_since = self.clock()
+        self.list_fault, deferred, self.deferred_changes = "", self.deferred_changes, []
+        for proxy, host, state in deferred:
+            self.note_state_known(proxy, host, state)
+
+    def fail_watches(self, silent: bool, silent_count: int) -> None:
+        self.watches_to_silence = [silent_count] * self.proxy_count
+        for connection in list(self.discovery_connections):
+            connection.cancel_watch()
             if silent:
-                end.silent = self.clock()
+                connection.silent_since = self.clock()
             else:
-                end.transport.abort()
+                connection.transport.abort()
 
-    def order(self, number: int, out: bool) -> None:
+    def order_host(self, host: int, out: bool) -> None:
         """The staff calls; what the proxy says yes to is noted when its answer is there."""
-        call = asyncio.get_running_loop().create_task(self.call(number, out))
-        self.calls.add(call)
-        call.add_done_callback(self.calls.discard)
+        call = asyncio.get_running_loop().create_task(self.send_order(host, out))
+        self.background_tasks.add(call)
+        call.add_done_callback(self.background_tasks.discard)
 
-    async def call(self, number: int, out: bool) -> None:
+    async def send_order(self, host: int, out: bool) -> None:
         reader, writer = await asyncio.open_connection(*self.console)
-        what = "disable" if out else "enable"
-        writer.write(f"PUT /-/hosts/host-{number}/{what} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
+        action = "disable" if out else "enable"
+        writer.write(f"PUT /-/hosts/host-{host}/{action} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         line = await reader.readline()
         writer.close()
         if line.split(b" ")[1:2] == [b"200"]:
-            self.wire.append(Ordered(self.clock(), number, out))
+            self.wire.append(HostOrdered(self.clock(), host, out))
 
-    def restart(self, number: int) -> None:
+    def restart(self, host: int) -> None:
         """Its process is a new one; whoever had a connection to it is cut off."""
-        self.machines[number].start(self.clock())
-        self.ended(number, "")
-        self.started_ms[number] = int(time.time() * 1000)
-        for end in list(self.ends[number]):
-            end.transport.abort()
-        self.list_as(number, "up")
-
-    def kill(self, number: int) -> None:
-        self.deaf(number)
-        self.machines[number].start(self.clock())  # what it had begun is gone
-        self.ended(number, "")
-        for end in list(self.ends[number]):
-            end.transport.abort()
-        self.list_as(number, "removed")
-
-    def come_back(self, number: int) -> None:
-        self.machines[number].start(self.clock())
-        self.started_ms[number] = int(time.time() * 1000)
-        self.task = asyncio.get_running_loop().create_task(self.listen(number))
-        self.list_as(number, "up")
+        self.machines[host].start(self.clock())
+        self.note_attempt_done(host, "")
+        self.started_ms[host] = int(time.time() * 1000)
+        for connection in list(self.host_connections[host]):
+            connection.transport.abort()
+        self.list_as(host, "up")
+
+    def kill(self, host: int) -> None:
+        self.stop_listening(host)
+        self.machines[host].start(self.clock())  # what it had begun is gone
+        self.note_attempt_done(host, "")
+        for connection in list(self.host_connections[host]):
+            connection.transport.abort()
+        self.list_as(host, "removed")
+
+    def start_host(self, host: int) -> None:
+        self.machines[host].start(self.clock())
+        self.started_ms[host] = int(time.time() * 1000)
+        self.listen_task = asyncio.get_running_loop().create_task(self.listen(host))
+        self.list_as(host, "up")
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -9,8 +9,8 @@
 from ..fleet.verdicts import FACT_LIFETIMES, OUT, HostVerdicts
 from ..membership.member import ALIVE, Update
 from .links import spoil
-from .result import mean_and_most
-from .scenario import bound
+from .result import mean_and_max
+from .scenario import program_limit
 
 TICK = 0.05  # seconds between two looks of a member, as the program does
 KEY = b"the lab's own key, known to all of its members"
@@ -107,7 +107,7 @@
         limits = FleetLimits(
             inner,
             proxy,
-            [bound(limit, names) for limit in told.fleet.limits],
+            [program_limit(limit, names) for limit in told.fleet.limits],
             f"p{n}",
             life,
             voters,
@@ -196,7 +196,7 @@
             "over_age": len(self.over_age),
             **self.spread(told, begin),
             "false_suspicions": self.false,
-            "messages": {"datagrams_s": mean_and_most(sent), "bytes_s": mean_and_most(rates)},
+            "messages": {"datagrams_s": mean_and_max(sent), "bytes_s": mean_and_max(rates)},
         }
 
     def spread(self, told, begin: float) -> dict:
--- a/basalthook/lab/timeline.py
+++ b/basalthook/lab/timeline.py
@@ -5,11 +5,11 @@
 
 from typing import NamedTuple
 
-from .judge import Offence
-from .wire import Got, Told
+from .judge import Violation
+from .wire import Got, HostStateSent
 
-BEFORE = 8.0  # seconds before an offence from which events of its proxy and endpoint are shown
-AFTER = 1.0  # seconds after it
+BEFORE_S = 8.0  # seconds before an offence from which events of its proxy and endpoint are shown
+AFTER_S = 1.0  # seconds after it
 LIST_EVENTS = (
     "list call",
     "list call failed",
@@ -26,7 +26,7 @@
     "ready",
     "ending",
 )
-LINES_MOST = 80  # the last ones
+MAX_LINES = 80  # the last ones
 
 
 class Line(NamedTuple):
@@ -38,38 +38,50 @@
         return f"{self.at:9.3f} {self.where:>5} {self.what}"
 
 
-def of_offence(offence: Offence, wire: list, logs: list[tuple], begin: float) -> list[Line]:
+def violation_timeline(violation: Violation, wire: list, logs: list[tuple], begin: float) -> list[Line]:
     """The request's own steps, and for a `drains` all that its proxy learned of the endpoint shortly before.
 
     `wire`: what crossed; `logs`: (when read, proxy, event, fields); `begin`: when the scenario began.
     """
-    found = _of_request(offence.tx, wire, logs, begin) if offence.tx is not None else []
-    proxies = {e.proxy for e in wire if isinstance(e, Got) and e.tx == offence.tx and e.host == offence.host}
-    if offence.rule == "drains":
+    lines = _request_lines(violation.tx, wire, logs, begin) if violation.tx is not None else []
+    proxies = {
+        entry.proxy
+        for entry in wire
+        if isinstance(entry, Got) and entry.tx == violation.tx and entry.host == violation.host
+    }
+    if violation.rule == "drains":
         for proxy in proxies:
-            found += _of_list(offence, proxy, wire, logs, begin)
-    return sorted(set(found))[-LINES_MOST:]
+            lines += _host_list_lines(violation, proxy, wire, logs, begin)
+    return sorted(set(lines))[-MAX_LINES:]
 
 
-def _of_request(tx: str, wire: list, logs: list[tuple], begin: float) -> list[Line]:
-    found = [Line(e.at - begin, "wire", _worded(e)) for e in wire if getattr(e, "tx", None) == tx]
+def _request_lines(tx: str, wire: list, logs: list[tuple], begin: float) -> list[Line]:
+    lines = [
+        Line(entry.at - begin, "wire", _describe(entry)) for entry in wire if getattr(entry, "tx", None) == tx
+    ]
     for at, proxy, event, fields in logs:
         if fields.get("tx") == tx:
-            found.append(Line(at - begin, f"p{proxy}", f"{event} {fields}"))
-    return found
-
-
-def _of_list(offence: Offence, proxy: int, wire: list, logs: list[tuple], begin: float) -> list[Line]:
-    since, found = offence.at - BEFORE, []
-    for e in wire:
-        if isinstance(e, Told) and (e.proxy, e.host) == (proxy, offence.host) and e.at <= offence.at:
-            found.append(Line(e.at - begin, "wire", _worded(e)))
-    for at, who, event, fields in logs:
-        if who == proxy and event in LIST_EVENTS and since <= at <= offence.at + AFTER:
-            found.append(Line(at - begin, f"p{proxy}", f"{event} {fields}"))
-    return found
-
-
-def _worded(entry) -> str:
+            lines.append(Line(at - begin, f"p{proxy}", f"{event} {fields}"))
+    return lines
+
+
+def _host_list_lines(
+    violation: Violation, proxy: int, wire: list, logs: list[tuple], begin: float
+) -> list[Line]:
+    since, lines = violation.at - BEFORE_S, []
+    for entry in wire:
+        if (
+            isinstance(entry, HostStateSent)
+            and (entry.proxy, entry.host) == (proxy, violation.host)
+            and entry.at <= violation.at
+        ):
+            lines.append(Line(entry.at - begin, "wire", _describe(entry)))
+    for at, log_proxy, event, fields in logs:
+        if log_proxy == proxy and event in LIST_EVENTS and since <= at <= violation.at + AFTER_S:
+            lines.append(Line(at - begin, f"p{proxy}", f"{event} {fields}"))
+    return lines
+
+
+def _describe(entry) -> str:
     fields = {name: value for name, value in entry._asdict().items() if name != "at" and value is not None}
     return f"{type(entry).__name__} {fields}"
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -8,19 +8,19 @@
 from ..program.service import Service
 from ..program.startup import decode
 from ..transport.event_loop import TimedSelector, run
-from .faults import Between, LongWay, OfProxies, Vanish
+from .faults import LinkFault, LongWay, ProxyFault, Vanish
 from .load import Clients
-from .result import Result, found
-from .scenario import BadScenario, Scenario, moments
+from .result import Result, build_result
+from .scenario import Scenario, ScenarioError, fault_events
 from .standins import Fleet
-from .start import settings
+from .start import proxy_settings
 from .wire import Answered, Asked, Got
 
-LOOK = 0.25  # seconds between two looks of who watches
-SOCKETS = 512
+PROGRESS_INTERVAL_S = 0.25  # seconds between two looks of who watches
+MAX_SOCKETS = 512
 
 
-class Books:
+class EventCounts:
     """In place of the program's log: counts of its lines by event, and its faults."""
 
     def __init__(self) -> None:
@@ -32,57 +32,61 @@
             self.faults.append(fields)
 
 
-def start_up(told: Scenario, fleet: Fleet) -> dict:
+def start_up(scenario: Scenario, fleet: Fleet) -> dict:
     """The start-up file of the one proxy of this scenario."""
     return {
-        "name": told.name,
+        "name": scenario.name,
         "listen": "127.0.0.1:0",
         "console": "127.0.0.1:0",
-        "discovery": fleet.discovery_at[0],
-        "seed": told.seed,
-        "limits": {"sockets": SOCKETS},
-        "known": fleet.listing(range(told.size), True),
-        "settings": settings(msgspec.structs.replace(told, proxies=1), 0, fleet.zones[0]),
+        "discovery": fleet.discovery_addresses[0],
+        "seed": scenario.seed,
+        "limits": {"sockets": MAX_SOCKETS},
+        "known": fleet.host_list(range(scenario.host_count), True),
+        "settings": proxy_settings(msgspec.structs.replace(scenario, proxies=1), 0, fleet.zones[0]),
     }
 
 
-def play(told: Scenario, watch=None) -> Result:
+def play(scenario: Scenario, on_progress=None) -> Result:
     """`watch(seconds, fleet, clients, wire)` is called several times a second while it runs, if given."""
     turns = TimedSelector()
-    return run(_play(told, watch, turns), turns)
-
-
-async def _play(told: Scenario, watch, turns: TimedSelector) -> Result:
-    loop, wire, books = asyncio.get_running_loop(), [], Books()
-    if any(isinstance(fault, Vanish | LongWay) for fault in told.faults):
-        raise BadScenario(f"{told.name}: vanish and long_way are played in virtual time alone, see --depth")
-    if told.fleet or any(isinstance(fault, Between | OfProxies) for fault in told.faults):
-        raise BadScenario(f"{told.name}: several proxies need depth `processes` or `decisions`")
-    fleet = Fleet(told, wire, loop.time, told.seed)
+    return run(_play(scenario, on_progress, turns), turns)
+
+
+async def _play(scenario: Scenario, on_progress, turns: TimedSelector) -> Result:
+    loop, wire, event_counts = asyncio.get_running_loop(), [], EventCounts()
+    if any(isinstance(fault, Vanish | LongWay) for fault in scenario.faults):
+        raise ScenarioError(
+            f"{scenario.name}: vanish and long_way are played in virtual time alone, see --depth"
+        )
+    if scenario.fleet or any(isinstance(fault, LinkFault | ProxyFault) for fault in scenario.faults):
+        raise ScenarioError(f"{scenario.name}: several proxies need depth `processes` or `decisions`")
+    fleet = Fleet(scenario, wire, loop.time, scenario.seed)
     await fleet.open()
-    service = Service(decode(start_up(told, fleet), {}), books, turns=turns)
+    service = Service(decode(start_up(scenario, fleet), {}), event_counts, turns=turns)
     listener = service.begin()
     fleet.console = service.console.address
-    clients = Clients(told.load, wire, loop.time, told.seed, [listener.address])
+    clients = Clients(scenario.load, wire, loop.time, scenario.seed, [listener.address])
     begin = loop.time()
-    to_come = [loop.call_at(begin + at, act, fleet, *given) for at, act, given in moments(told.faults)]
-    work = loop.create_task(clients.run(told.seconds, told.rate))
+    fault_timers = [
+        loop.call_at(begin + at, act, fleet, *given) for at, act, given in fault_events(scenario.faults)
+    ]
+    load_task = loop.create_task(clients.run(scenario.seconds, scenario.rate_at))
     try:
-        while not work.done():
-            await asyncio.wait((work,), timeout=LOOK)
-            if watch is not None:
-                watch(loop.time() - begin, fleet, clients, wire)
-        work.result()
+        while not load_task.done():
+            await asyncio.wait((load_task,), timeout=PROGRESS_INTERVAL_S)
+            if on_progress is not None:
+                on_progress(loop.time() - begin, fleet, clients, wire)
+        load_task.result()
         await service.end(listener)
     finally:
-        work.cancel()
-        for handle in to_come:  # guards against a host that comes back after its fleet has closed
+        load_task.cancel()
+        for handle in fault_timers:  # guards against a host that comes back after its fleet has closed
             handle.cancel()
         fleet.close()
-    return found(told, wire, begin, "sockets", books.faults)
+    return build_result(scenario, wire, begin, "sockets", event_counts.faults)
 
 
-def lately(wire: list, now: float, span: float = 1.0) -> tuple[Counter, Counter, int]:
+def recent_counts(wire: list, now: float, span: float = 1.0) -> tuple[Counter, Counter, int]:
     """Over the last `span` seconds: hops by host, answers by status, transactions asked."""
     hops, answers, asked = Counter(), Counter(), 0
     for e in reversed(wire):
--- a/basalthook/lab/wire.py
+++ b/basalthook/lab/wire.py
@@ -19,21 +19,21 @@
     window: float | None = None  # of a keyed request: seconds in which it may be sent again
 
 
-class Left(NamedTuple):
+class ClientLeft(NamedTuple):
     """The client has closed its connection before its answer: nothing may begin for it any more."""
 
     at: float
     tx: str
 
 
-class KeptOpen(NamedTuple):
+class HalfRequestKeptOpen(NamedTuple):
     """A client has stopped half way through its request, and its connection is open well after that."""
 
     at: float
     proxy: int
 
 
-class Crossed(NamedTuple):
+class ClosedBeforeRead(NamedTuple):
     """The proxy closed a resting connection just as a request was written to it: never read, so sent anew."""
 
     at: float
@@ -72,21 +72,21 @@
     tx: str  # "": on all that it held, as its process is gone
 
 
-class Excused(NamedTuple):
+class AnswerWaived(NamedTuple):
     """Its proxy was killed or stopped under it: nobody could answer."""
 
     at: float
     tx: str
 
 
-class Called(NamedTuple):
+class ListRequested(NamedTuple):
     """A proxy has asked discovery for the list."""
 
     at: float
     proxy: int
 
 
-class Told(NamedTuple):
+class HostStateSent(NamedTuple):
     """Discovery has written to the proxy what it knows of a host."""
 
     at: float
@@ -95,7 +95,7 @@
     proxy: int = 0
 
 
-class Ordered(NamedTuple):
+class HostOrdered(NamedTuple):
     """The staff has had its yes from the proxy: this host is out, or back."""
 
     at: float
--- a/basalthook/program/commands.py
+++ b/basalthook/program/commands.py
@@ -158,7 +158,7 @@
 
     Exit code 0: the four rules held; 3: one broke; 2: the scenario is bad.
     """
-    run_in_lab(lambda command: command.trial(scenario, seed, seconds, out))
+    run_in_lab(lambda command: command.run_trial(scenario, seed, seconds, out))
 
 
 @main.group()
@@ -182,7 +182,7 @@
 
     Exit code 0: the four rules held; 3: one broke; 2: the scenario is bad.
     """
-    run_in_lab(lambda command: command.run(scenario, depth, seed, out))
+    run_in_lab(lambda command: command.run_scenario(scenario, depth, seed, out))
 
 
 @lab.command("soak")
@@ -197,7 +197,7 @@
 
     Exit code 0: all rules held; 3: one broke.
     """
-    run_in_lab(lambda command: command.soaked(first, count, minutes, out))
+    run_in_lab(lambda command: command.run_soak(first, count, minutes, out))
 
 
 def run_in_lab(start) -> NoReturn:
@@ -212,7 +212,7 @@
         )
     try:
         passed = start(command)
-    except command.Failed as error:
+    except command.LabError as error:
         exit_with_error(startup.StartUpError(str(error)))
     sys.exit(0 if passed else 3)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,8 +10,8 @@
 
 from basalthook.lab import decisions, faults
 from basalthook.lab import scenario as s
-from basalthook.lab.result import found
-from basalthook.lab.wire import Called, Got
+from basalthook.lab.result import build_result
+from basalthook.lab.wire import Got, ListRequested
 from basalthook.policy.hosts import Hosts
 
 HOSTS = 60
@@ -21,7 +21,7 @@
 
 def fleet(count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **k):
     """Hosts of one core that turn slower with eight held until they have rested."""
-    kinds = [s.Kind(count, cores=1, choke=8, zones=["a", "b"])]
+    kinds = [s.HostKind(count, cores=1, choke=8, zones=["a", "b"])]
     told = s.Scenario(
         "story",
         seconds,
@@ -37,7 +37,7 @@
     )
     run = decisions.Fleet(told, seed)
     run.run()
-    return run, found(told, run.wire, decisions.BORN, "decisions", digest=run.digest.hexdigest())
+    return run, build_result(told, run.wire, decisions.BORN, "decisions", digest=run.digest.hexdigest())
 
 
 def hops(run, hosts, begin=0.0, end=99.0):
@@ -64,7 +64,7 @@
             faults=[faults.Kill(at=6, hosts=replaced, lasts=0.2)],
             discovery=s.Discovery(notice=0.05),
         )
-        self.assertTrue(result.verdict.kept, result.verdict.first)
+        self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(hops(run, replaced, 6.5, 18) / 11.5, 0.25 * hops(run, replaced, 0, 6) / 6)
 
     def test_each_proxy_pays_a_vanished_host_ever_more_seldom(self):
@@ -77,7 +77,7 @@
 
     def test_list_calls_are_spread_also_when_most_of_them_fail(self):
         run, _ = fleet(rate=100, seconds=20, discovery=s.Discovery(mode="on_request", fails=0.7, notice=0.1))
-        calls = Counter(int(e.at) for e in run.wire if isinstance(e, Called))
+        calls = Counter(int(e.at) for e in run.wire if isinstance(e, ListRequested))
         self.assertGreaterEqual(sum(calls.values()), 40)  # every proxy has asked
         self.assertLessEqual(max(calls.values()), 20)  # half of them in a second, at most
 
@@ -88,7 +88,7 @@
 
     def test_every_transaction_has_one_answer_in_an_overload(self):
         run, result = fleet(10, rate=900, seconds=4, proxies=10)
-        self.assertTrue(result.verdict.kept, result.verdict.first)
+        self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertFalse(run.open)
         self.assertFalse(run.hops)
         self.assertGreater(result.verdict.answers["rolled_back"], 0)
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -17,12 +17,12 @@
 class DiscoveryTrouble(unittest.TestCase):
     def test_draining_hosts_get_nothing_after_discovery_moved_repeatedly_and_rejected_calls(self):
         result = run_scenario("moved-in-a-row.toml")
-        self.assertEqual((result.faults, result.verdict.first), ([], None))
+        self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
         self.assertGreater(result.verdict.service, 0.95)
 
     def test_draining_hosts_get_nothing_though_discovery_answers_each_call_3_s_late(self):
         result = run_scenario("slow-discovery.toml")
-        self.assertEqual((result.faults, result.verdict.first), ([], None))
+        self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
 
 
 if __name__ == "__main__":
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,11 +13,20 @@
 from unittest.mock import patch
 
 from basalthook.lab import decisions, faults, scenario, timeline, trial
-from basalthook.lab.deadlines import ProxyView, counts_at
+from basalthook.lab.deadlines import ProxyView, deemed_known_at
 from basalthook.lab.judge import judge
 from basalthook.lab.messages import Messages
 from basalthook.lab.model import Machine
-from basalthook.lab.wire import Answered, Asked, Crossed, Got, KeptOpen, Left, Ordered, Told
+from basalthook.lab.wire import (
+    Answered,
+    Asked,
+    ClientLeft,
+    ClosedBeforeRead,
+    Got,
+    HalfRequestKeptOpen,
+    HostOrdered,
+    HostStateSent,
+)
 from basalthook.policy.hosts import Hosts
 from basalthook.policy.measure import Rendezvous
 
@@ -49,17 +58,19 @@
             got(1.3, 0, "v"),
             Answered(1.5, "v", 200, True),
         )
-        self.assertTrue(verdict.kept, verdict.first)
-        self.assertEqual((verdict.service, verdict.wasted), (1.0, 0))
+        self.assertTrue(verdict.passed, verdict.first_violation)
+        self.assertEqual((verdict.service, verdict.repeated_runs), (1.0, 0))
         self.assertEqual(verdict.answers, {"committed": 2, "rolled_back": 1, "abandoned": 0})
 
     def test_the_staffs_word_stands_over_the_lists_until_it_is_called_back(self):
         def hop(at, tx):
             return asked(at - 0.1, tx), got(at, 0, tx), Answered(at + 0.1, tx, 200, True)
 
-        before = Ordered(1.0, 0, True), Told(1.1, 0, "up")
-        verdict = self.found(*before, *hop(1.4, "a"), *hop(1.8, "b"), Ordered(2.5, 0, False), *hop(3.5, "c"))
-        self.assertEqual((verdict.rules["drains"], verdict.first.tx), (1, "b"))
+        before = HostOrdered(1.0, 0, True), HostStateSent(1.1, 0, "up")
+        verdict = self.found(
+            *before, *hop(1.4, "a"), *hop(1.8, "b"), HostOrdered(2.5, 0, False), *hop(3.5, "c")
+        )
+        self.assertEqual((verdict.rules["drains"], verdict.first_violation.tx), (1, "b"))
 
     def test_each_broken_rule_is_found_with_its_time_host_and_transaction(self):
         over = Answered(0.2, "t", 502, False)
@@ -77,7 +88,7 @@
                 "drains",
                 1.6,
                 0,
-                [Told(1.0, 0, "draining"), asked(1.5), got(1.6), Answered(1.7, "t", 200, True)],
+                [HostStateSent(1.0, 0, "draining"), asked(1.5), got(1.6), Answered(1.7, "t", 200, True)],
             ),
             (
                 "pushed_over",
@@ -96,38 +107,38 @@
         ):
             verdict = self.found(*wire)
             self.assertEqual({r for r, count in verdict.rules.items() if count}, {rule}, verdict)
-            self.assertEqual(verdict.first[:3], (rule, at, host))
+            self.assertEqual(verdict.first_violation[:3], (rule, at, host))
 
     def test_each_broken_term_on_clients_deadlines_and_windows_is_found(self):
         keyed = asked()._replace(window=0.5, once=False)
         ok = Answered(1.5, "t", 200, True)
         for rule, at, wire in (
-            ("lost", 0.5, [asked(), Left(0.3, "t"), got(0.5)]),
-            ("lost", 0.1, [asked(), got(0.1), Crossed(0.2, "t")]),
+            ("lost", 0.5, [asked(), ClientLeft(0.3, "t"), got(0.5)]),
+            ("lost", 0.1, [asked(), got(0.1), ClosedBeforeRead(0.2, "t")]),
             ("lost", 0.5, [asked(), got(0.5)._replace(told=1.8), ok]),
-            ("lost", 4.0, [KeptOpen(4.0, 0)]),
+            ("lost", 4.0, [HalfRequestKeptOpen(4.0, 0)]),
             ("doubled", 0.8, [keyed, got(0.1), got(0.8, 1), ok]),
             ("doubled", 1.5, [keyed, got(0.1), Answered(1.5, "t", 503, False)]),
         ):
             verdict = self.found(*wire)
             self.assertEqual({r for r, count in verdict.rules.items() if count}, {rule}, verdict)
-            self.assertEqual(verdict.first[:2], (rule, at))
+            self.assertEqual(verdict.first_violation[:2], (rule, at))
 
     def test_what_the_terms_allow_is_no_offence(self):
         keyed = asked()._replace(window=0.5, once=False)
         ok = Answered(1.5, "t", 200, True)
         for wire in (
-            [asked(), Left(0.3, "t"), got(0.4)],
-            [asked(), Crossed(0.02, "t")],
+            [asked(), ClientLeft(0.3, "t"), got(0.4)],
+            [asked(), ClosedBeforeRead(0.02, "t")],
             [asked(), got(0.5)._replace(told=1.6), ok],
             [keyed, got(0.1), got(0.5, 1), ok],
             [keyed, got(0.1), Answered(0.5, "t", 503, False)],
             [keyed, got(0.1, ran=False), got(0.9, 1), ok],
         ):
-            self.assertTrue(self.found(*wire).kept, wire)
+            self.assertTrue(self.found(*wire).passed, wire)
 
     def test_the_timeline_of_an_offence_shows_its_request_and_what_its_proxy_learned(self):
-        told, other = Told(1.0, 0, "draining"), Told(1.0, 1, "draining")
+        told, other = HostStateSent(1.0, 0, "draining"), HostStateSent(1.0, 1, "draining")
         wire = [told, other, asked(1.5), got(1.6), asked(1.6, "u"), Answered(1.7, "t", 200, True)]
         logs = [
             (1.2, 0, "list unchanged", {"version": 3}),
@@ -135,11 +146,11 @@
             (1.6, 0, "attempt", {"tx": "t", "endpoint": "s-0"}),
             (1.6, 0, "attempt", {"tx": "u", "endpoint": "s-0"}),
         ]
-        lines = timeline.of_offence(self.found(*wire).first, wire, logs, 1.0)
+        lines = timeline.violation_timeline(self.found(*wire).first_violation, wire, logs, 1.0)
         self.assertEqual(
             [(round(line.at, 1), line.where, line.what.split(" ")[0]) for line in lines],
             [
-                (0.0, "wire", "Told"),
+                (0.0, "wire", "HostStateSent"),
                 (0.2, "p0", "list"),
                 (0.5, "wire", "Asked"),
                 (0.6, "p0", "attempt"),
@@ -150,15 +161,15 @@
 
     def test_within_the_grace_and_listed_again_is_no_offence(self):
         verdict = self.found(
-            Told(1.0, 0, "draining"),
-            Told(1.6, 0, "up"),
+            HostStateSent(1.0, 0, "draining"),
+            HostStateSent(1.6, 0, "up"),
             *(
                 e
                 for n, at in enumerate((1.4, 2.0))
                 for e in (asked(at, n), got(at, 0, n), Answered(at + 0.1, n, 200, True))
             ),
         )
-        self.assertTrue(verdict.kept, verdict.first)
+        self.assertTrue(verdict.passed, verdict.first_violation)
 
 
 class ReadLate(unittest.IsolatedAsyncioTestCase):
@@ -166,8 +177,8 @@
         found = []
 
         class Noting(Messages):
-            def message(self, first, fields, body):
-                found.append(self.read_late())
+            def message_received(self, first, fields, body):
+                found.append(self.read_delay())
 
         server = await asyncio.get_running_loop().create_server(Noting, "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
@@ -184,23 +195,23 @@
 class Model(unittest.TestCase):
     def machine(self, **changes):
         usual = {"cores": 2, "speed": 1.0, "slots": 3}
-        kind = scenario.Kind(1, **{**usual, **changes})
+        kind = scenario.HostKind(1, **{**usual, **changes})
         return Machine(kind, RULES, 5.0, 0.5)
 
     def test_cores_queue_and_slots(self):
         machine = self.machine()
-        self.assertEqual([machine.take(1.0, 0.5) for _ in range(4)], [1.5, 1.5, 2.0, None])
-        machine.done(machine.life)
-        self.assertIsNotNone(machine.take(1.5, 0.4))
+        self.assertEqual([machine.accept(1.0, 0.5) for _ in range(4)], [1.5, 1.5, 2.0, None])
+        machine.release(machine.life)
+        self.assertIsNotNone(machine.accept(1.5, 0.4))
 
     def test_a_cold_process_is_slow_forgets_keys_and_owes_nothing_of_the_one_before(self):
         machine = self.machine()
         self.assertEqual([machine.cost(at, "k", 1.0) for at in (0.0, 4.0, 10.0)], [1.0, 0.5, 1.0])
-        machine.take(10.0, 1.0)
+        machine.accept(10.0, 1.0)
         before = machine.life
         machine.start(11.0)
-        machine.done(before)
-        self.assertEqual((machine.held, machine.cost(11.0, "k", 1.0)), (0, 1.0))
+        machine.release(before)
+        self.assertEqual((machine.occupied_slots, machine.cost(11.0, "k", 1.0)), (0, 1.0))
         capacity = [machine.capacity(at) for at in (11.0, 13.0, 15.0, 99.0)]
         self.assertEqual(capacity, [0.5, 1.25, 2.0, 2.0])
 
@@ -217,7 +228,7 @@
             ('name = "order"', 'name = "read"', ("$.load.profiles[1].name",)),
             ("seconds = 20", "seconds = ", ("no TOML", "line")),
         ):
-            with self.assertRaises(scenario.BadScenario) as caught:
+            with self.assertRaises(scenario.ScenarioError) as caught:
                 scenario.parse(TRY.replace(old, new), "day.toml")
             for word in ("day.toml", *words):
                 self.assertIn(word, str(caught.exception))
@@ -227,28 +238,32 @@
         self.assertGreater(len(found), 6)
         for name in found:
             told = scenario.load(str(files("basalthook.lab").joinpath("scenarios", name)))
-            if any(isinstance(fault, faults.ON_PROCESSES) for fault in told.faults):
+            if any(isinstance(fault, faults.PROCESS_ONLY_FAULTS) for fault in told.faults):
                 continue  # tests.test_processes and tests.test_incidents play it whole
             on_sockets = any(isinstance(fault, faults.Maintain) for fault in told.faults)
             told = scenario.msgspec.structs.replace(told, seconds=6.0 if on_sockets else 9.0)
             verdict = (trial if on_sockets else decisions).play(told).verdict
-            self.assertTrue(verdict.kept, (name, verdict.first))
+            self.assertTrue(verdict.passed, (name, verdict.first_violation))
             self.assertGreater(verdict.service, 0.5, name)
 
 
 class Deadlines(unittest.TestCase):
     def test_news_counts_when_the_operators_say(self):
         for view, pushed, at in (
-            (ProxyView(watched=True), True, None),
-            (ProxyView(watched=False), True, 20.0),
-            (ProxyView(watched=False, last_call=18.0), False, 30.0),
-            (ProxyView(watched=False, last_call=25.0, failed=True), False, 26.0),
-            (ProxyView(watched=False, silent_counts=(31.0,)), True, 31.0),
-            (ProxyView(watched=False, silent_counts=(31.0,), failed=True), False, 26.0),
-            (ProxyView(watched=False, moved=18.0, failed=True), False, 22.0),
-            (ProxyView(watched=False, moved=10.0), True, 20.0),
+            (ProxyView(has_working_watch=True), True, None),
+            (ProxyView(has_working_watch=False), True, 20.0),
+            (ProxyView(has_working_watch=False, last_call_at=18.0), False, 30.0),
+            (ProxyView(has_working_watch=False, last_call_at=25.0, last_call_failed=True), False, 26.0),
+            (ProxyView(has_working_watch=False, silent_deadlines=(31.0,)), True, 31.0),
+            (
+                ProxyView(has_working_watch=False, silent_deadlines=(31.0,), last_call_failed=True),
+                False,
+                26.0,
+            ),
+            (ProxyView(has_working_watch=False, discovery_moved_at=18.0, last_call_failed=True), False, 22.0),
+            (ProxyView(has_working_watch=False, discovery_moved_at=10.0), True, 20.0),
         ):
-            self.assertEqual(counts_at(15.0, 20.0, view, pushed, ask_within=10.0), at, view)
+            self.assertEqual(deemed_known_at(15.0, 20.0, view, pushed, ask_within=10.0), at, view)
 
 
 class Trial(unittest.TestCase):
@@ -259,7 +274,7 @@
 
     def test_a_host_killed_and_back_with_all_rules_kept(self):
         found = self.play(3.0, [faults.Kill(at=0.5, hosts=[0], lasts=1.0)])
-        self.assertTrue(found.verdict.kept, found.verdict.first)
+        self.assertTrue(found.verdict.passed, found.verdict.first_violation)
         self.assertGreater(found.verdict.service, 0.9)
         self.assertEqual(found.faults, [])
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -19,7 +19,7 @@
 from basalthook.lab import loopback, processes, scenario
 from basalthook.lab.links import Links
 from basalthook.lab.relays import Relays
-from basalthook.lab.wire import Told
+from basalthook.lab.wire import HostStateSent
 from basalthook.membership import wire
 
 BASE = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
@@ -45,9 +45,9 @@
         for mode in ("pushed", "on_request"):
             rig = []
             result = processes.play(scenario.parse(day.replace("pushed", mode), "leaving.toml"), rig)
-            self.assertEqual((result.faults, result.verdict.first), ([], None))
+            self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
             self.assertGreater(result.verdict.service, 0.95)
-            drained = [e for e in rig[0].wire if isinstance(e, Told) and e.state == "draining"]
+            drained = [e for e in rig[0].wire if isinstance(e, HostStateSent) and e.state == "draining"]
             self.assertEqual(len({(e.host, e.proxy) for e in drained}), 3 * 6)
 
 
@@ -83,8 +83,8 @@
         told = scenario.parse("\n".join((head, SILENT, *faults, shares)), "day.toml")
         result = processes.play(told, rig)
         self.assertEqual(result.faults, [])
-        self.assertTrue(result.verdict.kept, result.verdict.first)
-        self.assertEqual((result.talk["over_age"], result.talk["younger"]), (0, 0))
+        self.assertTrue(result.verdict.passed, result.verdict.first_violation)
+        self.assertEqual((result.fleet_figures["over_age"], result.fleet_figures["younger"]), (0, 0))
         return rig[0], result
 
     def test_no_host_is_over_its_places_whoever_of_the_voters_dies_or_stands_still(self):
@@ -99,8 +99,8 @@
         )
         told = scenario.parse("\n".join((head.replace("seconds = 50", "seconds = 13"), *faults)), "day.toml")
         result = processes.play(told)
-        self.assertEqual((result.faults, result.talk["limits"]["places"]["over_most"]), ([], 0.0))
-        self.assertTrue(result.verdict.kept, result.verdict.first)
+        self.assertEqual((result.faults, result.fleet_figures["limits"]["places"]["over_most"]), ([], 0.0))
+        self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(result.verdict.service, 0.5)
 
     def out(self, rig):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
         for seed in (2, 5, 6):
             with self.subTest(seed=seed):
                 result = processes.play(soak.drawn(seed))
-                self.assertEqual((result.faults, result.verdict.first), ([], None))
+                self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
 
 
 if __name__ == "__main__":
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -21,7 +21,7 @@
 class OnProcesses(unittest.TestCase):
     def test_all_rules_hold_while_accept_socket_connect_reads_and_writes_fail_at_random(self):
         result = run_scenario("system-calls.toml")
-        self.assertEqual((result.faults, result.verdict.first), ([], None))
+        self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
         self.assertGreater(result.verdict.service, 0.8)
 
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -24,7 +24,7 @@
     trial_order,
 )
 from basalthook.lab import decisions, scenario
-from basalthook.lab.start import settings
+from basalthook.lab.start import proxy_settings
 from basalthook.policy import interface
 from basalthook.policy.decide import Proxy
 
@@ -64,8 +64,12 @@
     )
     return (
         run,
-        decisions.found(
-            parsed, run.wire, decisions.BORN, "decisions", talk=run.talking.figures(parsed, decisions.BORN)
+        decisions.build_result(
+            parsed,
+            run.wire,
+            decisions.BORN,
+            "decisions",
+            fleet_figures=run.talking.figures(parsed, decisions.BORN),
         ),
         out,
     )
@@ -74,15 +78,15 @@
 class SimulatedFleets(unittest.TestCase):
     def assert_invariants(self, result):
         """Checks what holds in every run: the four rules, and no fact used beyond its lifetime."""
-        self.assertTrue(result.verdict.kept, result.verdict.first)
-        self.assertEqual(result.talk["over_age"], 0)
+        self.assertTrue(result.verdict.passed, result.verdict.first_violation)
+        self.assertEqual(result.fleet_figures["over_age"], 0)
 
     def test_three_silent_hosts_go_out_and_return_at_all_members(self):
         run, result, out = play(fault("silent", hosts=[0, 1, 2]))
         self.assert_invariants(result)
         self.assertGreater(result.verdict.service, 0.98)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
-        self.assertLess(result.talk["agree_s"][0], 2.5)
+        self.assertLess(result.fleet_figures["agree_s"][0], 2.5)
         self.assertFalse(any(s.state == OUT for mind in run.talking.minds for s in mind.states.values()))
         back = Counter(e.host in (0, 1, 2) for e in run.wire if type(e).__name__ == "Got" and e.at > 115)
         self.assertGreater(back[True] / 3, 0.5 * back[False] / 17)
@@ -172,7 +176,7 @@
             patch.object(FactTable, "expire", lambda *_: None),
         ):
             _, result, _ = play(fault("silent", hosts=[0], lasts=10))
-        self.assertGreater(result.talk["over_age"], 0)
+        self.assertGreater(result.fleet_figures["over_age"], 0)
 
 
 def make_report(author, late_sent_at=0, heard_at=0, lost=0, errors=0, answers=0, zone="a"):
@@ -219,7 +223,7 @@
 class MaliciousMembers(unittest.TestCase):
     def setUp(self):
         parsed = scenario.parse(BASE_SCENARIO, "x")
-        agreed = terms.policy_settings(settings(parsed, 0, "a"))
+        agreed = terms.policy_settings(proxy_settings(parsed, 0, "a"))
         self.proxy = Proxy(agreed, 1, 0)
         self.proxy.handle(
             0,
