--- a/basalthook/lab/judge.py
+++ b/basalthook/lab/judge.py
@@ -123,7 +123,7 @@
 
 def worst_share(served_by_due: list[tuple[float, bool]], span: float) -> float:
     """The lowest served share in any window of `span` seconds; that of the whole run if it is shorter."""
-    lowest, recent, on_time = served_share([g for _, g in served_by_due]), deque(), 0
+    lowest, recent, on_time = served_share([served for _, served in served_by_due]), deque(), 0
     begin = served_by_due[0][0] if served_by_due else 0.0
     for due, served in served_by_due:
         recent.append((due, served))
@@ -151,7 +151,7 @@
     )
 
 
-def check_lost(requests, answers, attempts, waived=frozenset(), late: float = 0.0):
+def check_lost(requests, answers, attempts, waived=frozenset(), lateness: float = 0.0):
     """Each transaction has exactly one answer before its hard limit, made by a host if it is a commit.
 
     No attempt is sent after the answer or the limit.
@@ -160,7 +160,7 @@
         tx_answers = answers[tx]
         if tx in waived:
             continue
-        if not tx_answers or tx_answers[0].at > entry.limit + SOCKET_SLACK_S + late:
+        if not tx_answers or tx_answers[0].at > entry.limit + SOCKET_SLACK_S + lateness:
             yield Violation("lost", entry.limit, None, tx, "no answer before the hard limit")
         elif tx_answers[0].status == 0:
             yield Violation(
@@ -220,7 +220,7 @@
                 entry.at,
                 None,
                 None,
-                f"p{entry.proxy} kept the connection of a half-sent request open",
+                f"connection of a half-sent request kept open by p{entry.proxy}",
             )
 
 
@@ -268,10 +268,12 @@
                 drained_since.setdefault((entry.proxy, entry.host), entry.at)
         elif isinstance(entry, Got):
             process = entry.proxy, entry.host
-            late = entry.at - min(drained_since.get(process, entry.at), ordered_out_at.get(process, entry.at))
-            if late > rules.drain_grace + SOCKET_SLACK_S:
+            lateness = entry.at - min(
+                drained_since.get(process, entry.at), ordered_out_at.get(process, entry.at)
+            )
+            if lateness > rules.drain_grace + SOCKET_SLACK_S:
                 yield Violation(
-                    "drains", entry.at, entry.host, entry.tx, f"{late:.2f} s after the proxy was told"
+                    "drains", entry.at, entry.host, entry.tx, f"{lateness:.2f} s after the proxy was told"
                 )
 
 
--- a/basalthook/lab/load.py
+++ b/basalthook/lab/load.py
@@ -175,7 +175,7 @@
         while self.clock() < give_up_at and (
             self.tasks
             and not (self.load.idle or self.load.stalled)
-            or any(client.open_request for client in self.connections)
+            or any(connection.open_request for connection in self.connections)
         ):
             await asyncio.sleep(0.02)
         self.running = False
