--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -156,7 +156,7 @@
             ),
         )
 
-    def answered(self, proxy: int, tx: int, status: int, start_host: float = 0.0) -> None:
+    def answered(self, proxy: int, tx: int, status: int, come_back: float = 0.0) -> None:
         asked, again = self.open.pop((proxy, tx), None), self.given.pop((proxy, tx), None)
         if asked is None:
             return
@@ -164,7 +164,7 @@
         self.forget(proxy, tx)
         load = self.told.load
         if status == 503 and again[-1] < load.retries:
-            wait = start_host if self.manners.random() < load.obey else 0.0
+            wait = come_back if self.manners.random() < load.obey else 0.0
             another = self.up_from(self.draws.randrange(len(self.proxies)))
             self.later(wait, self.ask, another, *again[:-1], again[-1] + 1)
 
--- a/basalthook/lab/discovery.py
+++ b/basalthook/lab/discovery.py
@@ -68,6 +68,7 @@
         self.timer = asyncio.get_running_loop().call_later(wait, self.send_list, self.watched_version)
 
     def cancel_watch(self) -> None:
+        """Ends the wait for a newer list, without an answer."""
         self.fleet.pending_watches.discard(self)
         if self.timer is not None:
             self.timer.cancel()
@@ -77,6 +78,7 @@
         return max(self.silent_since + WATCH_SILENCE_S, self.wait_ends_at + AFTER_WAIT_S)
 
     def send_list(self, since: int | None) -> None:
+        """Answers with the changes after version `since`; None: with the full list."""
         self.cancel_watch()
         if self.fleet.list_fault == "spoilt":
             return self.send_truncated_list()
--- a/basalthook/lab/endpoints.py
+++ b/basalthook/lab/endpoints.py
@@ -10,7 +10,7 @@
 from .model import Machine
 from .wire import Got
 
-BACKLOG = 512
+BACKLOG = 512  # connections
 BACKLOG_FILLERS = 2  # number of connections that fill a backlog of 0
 DUPLICATE_DELAY_S = 0.005  # from the first answer to the duplicate
 DUPLICATE_DEADLINE_S = 0.008  # a duplicate that would come later is not sent
@@ -73,6 +73,7 @@
             self.transport.close()
 
     def is_forgotten(self) -> bool:
+        """Whether the host has dropped this connection's state after idle time, by a fault."""
         idle_for = self.fleet.clock() - self.idle_since
         return (
             self.answer_count > 0
@@ -121,6 +122,7 @@
             asyncio.get_running_loop().call_later(ends_at - now, self.finish_work, machine, machine.life, tx)
 
     def finish_work(self, machine: Machine, life: int, tx: str) -> None:
+        """Answers, unless the process has ended since, the host is silent, or a fault loses the answer."""
         machine.release(life)
         if life == machine.life:
             self.fleet.note_attempt_done(self.host, tx)
@@ -184,6 +186,7 @@
             task.add_done_callback(self.tasks.discard)
 
     def fill_backlog(self) -> None:
+        """Stops accepting, with a full backlog; connections already in it are accepted first."""
         asyncio.get_running_loop().remove_reader(self.socket.fileno())
         self.on_readable()
         self.socket.listen(0)
@@ -194,6 +197,7 @@
             self.fillers.append(filler)
 
     def reopen_backlog(self) -> None:
+        """Accepts connections again; those that wait in the backlog are reset."""
         self.drop_fillers()
         for accepted in self.accept_waiting():  # when they were written to is unknown
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
--- a/basalthook/lab/judge.py
+++ b/basalthook/lab/judge.py
@@ -123,7 +123,7 @@
 
 def worst_share(served_by_due: list[tuple[float, bool]], span: float) -> float:
     """The lowest served share in any window of `span` seconds; that of the whole run if it is shorter."""
-    lowest, recent, on_time = served_share([served for _, served in served_by_due]), deque(), 0
+    lowest, recent, on_time = served_share([outcome for _, outcome in served_by_due]), deque(), 0
     begin = served_by_due[0][0] if served_by_due else 0.0
     for due, served in served_by_due:
         recent.append((due, served))
--- a/basalthook/lab/load.py
+++ b/basalthook/lab/load.py
@@ -29,13 +29,12 @@
 
     def __init__(self, clients: "Clients", proxy: int) -> None:
         super().__init__()
-        self.clients, self.proxy, self.open_request, self.timer = clients, proxy, None, None
-        self.request_count, self.has_left = (
-            0,
-            False,
-        )  # requests so far; whether the client left before its answer
+        self.clients, self.proxy, self.open_request, self.abort_timer = clients, proxy, None, None
+        # requests so far; whether the client left before its answer
+        self.request_count, self.has_left = 0, False
 
     def send(self, profile, key: str, work: float, due: float, tx: str, first: str, retry_count: int) -> None:
+        """Sends transaction `tx` on this connection; `first` is the id of its first try."""
         now, limit = self.clients.clock(), self.clients.draw_time_limit(profile)
         once, keyed = profile.effect == "once", profile.effect == "by_key"
         self.open_request = Asked(
@@ -59,13 +58,13 @@
         )
         wait = limit + ANSWER_GRACE_S
         loop, behaviour_rng, load = asyncio.get_running_loop(), self.clients.behaviour_rng, self.clients.load
-        self.timer = loop.call_later(wait, self.transport.abort)
+        self.abort_timer = loop.call_later(wait, self.transport.abort)
         if load.leave and behaviour_rng.random() < load.leave:
             starts_next = behaviour_rng.random() < load.ahead
             loop.call_later(behaviour_rng.random() * limit, self.leave, self.open_request, starts_next)
 
     def leave(self, request: Asked, starts_next: bool) -> None:
-        """Close before the answer; `starts_next`: after writing the first bytes of the next request."""
+        """Closes before the answer; `starts_next`: after writing the first bytes of the next request."""
         if self.open_request is not request or self.transport.is_closing():
             return
         if starts_next:
@@ -78,7 +77,7 @@
         request, self.open_request = self.open_request, None
         if request is None:
             return self.transport.abort()
-        self.timer.cancel()
+        self.abort_timer.cancel()
         status = int(first.split(" ")[1])
         self.clients.note_answer(
             self, request, status, body.startswith(request.tx.encode() + b" by "), fields
@@ -89,8 +88,8 @@
             self.clients.idle_connections[self.proxy].append(self)
 
     def connection_lost(self, _) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.abort_timer is not None:
+            self.abort_timer.cancel()
         if self in self.clients.idle_connections[self.proxy]:
             self.clients.idle_connections[self.proxy].remove(self)
         self.clients.connections.discard(self)
@@ -145,12 +144,15 @@
         self.hurry_rng = Random(f"hurries of {seed}")
         self.key_weights = list(accumulate(rank**-load.zipf for rank in range(1, load.keys + 1)))
         self.idle_connections: list[list[Client]] = [[] for _ in addresses]  # by proxy
-        self.connections: set[Client] = set()
-        self.tasks: set[asyncio.Task] = set()  # emptied as they end
-        self.silent_connections: set[asyncio.Transport] = set()  # emptied as they end
+        self.connections: set[Client] = set()  # each removes itself when it ends
+        self.tasks: set[asyncio.Task] = set()  # each removes itself when it ends
+        self.silent_connections: set[asyncio.Transport] = set()  # each removes itself when it ends
         self.running = False
         # latencies of commits
-        self.number, self.latency_us = 0, HdrHistogram(1, MAX_LATENCY_S * MICROSECONDS_PER_SECOND, 3)
+        self.transaction_count, self.latency_us = (
+            0,
+            HdrHistogram(1, MAX_LATENCY_S * MICROSECONDS_PER_SECOND, 3),
+        )
 
     async def run(self, seconds: float, rate) -> None:
         """Sends transactions for `seconds`, at `rate(seconds since the start)` per second.
@@ -188,23 +190,23 @@
             return min(profile.hard_limit, self.hurry_rng.uniform(*HURRIED_WAIT_S))
         return profile.hard_limit
 
-    def schedule_silent_connection(self, proxy: int, kind: type[Idle]) -> None:
+    def schedule_silent_connection(self, proxy: int, connection_type: type[Idle]) -> None:
         """Opens a connection of this kind after a short random delay."""
         if self.running:
             asyncio.get_running_loop().call_later(
                 REPLACE_DELAY_S * self.behaviour_rng.random(),
-                lambda: self.start_task(self.open_silent_connection(proxy, kind)),
+                lambda: self.start_task(self.open_silent_connection(proxy, connection_type)),
             )
 
-    async def open_silent_connection(self, proxy: int, kind: type[Idle]) -> None:
+    async def open_silent_connection(self, proxy: int, connection_type: type[Idle]) -> None:
         try:
             if self.addresses[proxy]:
                 loop = asyncio.get_running_loop()
-                await loop.create_connection(lambda: kind(self, proxy), *self.addresses[proxy])
+                await loop.create_connection(lambda: connection_type(self, proxy), *self.addresses[proxy])
                 return
         except OSError:
             pass  # nobody listens, or the connection limit is reached
-        self.schedule_silent_connection(proxy, kind)
+        self.schedule_silent_connection(proxy, connection_type)
 
     def start_task(self, work) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -212,8 +214,8 @@
         task.add_done_callback(self.tasks.discard)
 
     def start_transaction(self, profile, key, work, due, first, retry_count) -> None:
-        self.number += 1
-        tx = f"lab-{self.number}"
+        self.transaction_count += 1
+        tx = f"lab-{self.transaction_count}"
         self.start_task(self.send_transaction(profile, key, work, due, tx, first or tx, retry_count))
 
     def pick_proxy(self) -> int | None:
@@ -263,6 +265,7 @@
     def note_answer(
         self, client: Client, request: Asked, status: int, made_by_host: bool, fields: dict
     ) -> None:
+        """Records an answer; retries a rolled-back transaction, after Retry-After if the client obeys it."""
         now = max(request.at, self.clock() - client.read_delay())
         self.wire.append(Answered(now, request.tx, status, made_by_host))
         if status == 200:
--- a/basalthook/lab/show.py
+++ b/basalthook/lab/show.py
@@ -36,6 +36,7 @@
             self.live.stop()
 
     def __call__(self, seconds: float, fleet, clients, wire: list) -> None:
+        """Redraws the table; without a terminal, prints a line every 5 s."""
         attempts, answers, sent_count = recent_counts(wire, clients.clock())
         p99_ms = clients.latency_us.get_value_at_percentile(99) / 1000
         line = (
--- a/basalthook/lab/standins.py
+++ b/basalthook/lab/standins.py
@@ -45,7 +45,7 @@
         self.pending_watches: set[DiscoveryConnection] = set()
         # all connections to discovery; each removes itself when it ends
         self.discovery_connections: set[DiscoveryConnection] = set()
-        self.watches_to_silence = [0] * proxies  # number of next watches of each proxy that will be silent
+        self.watches_to_silence = [0] * proxies  # how many of each proxy's next connections are silent
         self.last_call_at = [0.0] * proxies
         self.last_call_failed = [False] * proxies  # the last call of each proxy was refused or broke
         # when the discovery address of each proxy changed, until the new one has answered
@@ -124,16 +124,16 @@
         omitted_states = ("removed", "draining") if self.list_fault == "whole" else ("removed",)
         entries = [
             {
-                "id": f"host-{n}",
-                "addr": f"{loopback.ADDRESS}:{self.ports[n][proxy]}",
-                "zone": self.zones[n],
+                "id": f"host-{host}",
+                "addr": f"{loopback.ADDRESS}:{self.ports[host][proxy]}",
+                "zone": self.zones[host],
                 "cell": 0,
-                "state": self.states[n],
-                "weight": self.machines[n].cores * self.machines[n].speed,
-                "started_ms": self.started_ms[n],
+                "state": self.states[host],
+                "weight": self.machines[host].cores * self.machines[host].speed,
+                "started_ms": self.started_ms[host],
             }
-            for n in hosts
-            if not (full and self.states[n] in omitted_states)
+            for host in hosts
+            if not (full and self.states[host] in omitted_states)
         ]
         return {"version": self.version, "full": full, "servers": entries}
 
@@ -156,6 +156,7 @@
     # ---- called by faults
 
     def list_as(self, host: int, state: str) -> None:
+        """Lists a host as "up", "draining" or "removed", after the delay of discovery."""
         asyncio.get_running_loop().call_later(self.scenario.discovery.notice, self.change_state, host, state)
 
     def change_state(self, host: int, state: str) -> None:
@@ -174,6 +175,7 @@
                 watch.send_list(watch.watched_version)
 
     def fail_discovery(self, how: str) -> None:
+        """Discovery answers every call with 503 ("refuses") or aborts every connection ("down")."""
         self.discovery_failure = how
         for connection in list(self.discovery_connections):
             connection.cancel_watch()
@@ -222,6 +224,7 @@
             )
 
     def note_state_known(self, proxy: int, host: int, state: str) -> None:
+        """Records that the proxy counts as knowing a state, unless it changed or lists are corrupt."""
         if self.states[host] != state:  # changed again since
             return
         valid_for = self.clock() - self.lists_valid_since
@@ -242,6 +245,7 @@
             self.note_state_known(proxy, host, state)
 
     def fail_watches(self, silent: bool, silent_count: int) -> None:
+        """Silences or aborts all discovery connections; the next `silent_count` of each proxy are silent."""
         self.watches_to_silence = [silent_count] * self.proxy_count
         for connection in list(self.discovery_connections):
             connection.cancel_watch()
@@ -275,6 +279,7 @@
         self.list_as(host, "up")
 
     def kill(self, host: int) -> None:
+        """Ends the host's process: it stops listening, and its connections are aborted."""
         self.stop_listening(host)
         self.machines[host].start(self.clock())  # drops the work in progress
         self.note_attempt_done(host, "")
@@ -283,6 +288,7 @@
         self.list_as(host, "removed")
 
     def start_host(self, host: int) -> None:
+        """Starts a new, cold process of a killed host."""
         self.machines[host].start(self.clock())
         self.started_ms[host] = int(time.time() * 1000)
         self.listen_task = asyncio.get_running_loop().create_task(self.listen(host))
