--- a/basalthook/lab/command.py
+++ b/basalthook/lab/command.py
@@ -52,7 +52,7 @@
 def soaked_day(seed: int, console: Console) -> dict:
     """Plays one day and says how it went; of a broken one also how to play it again, and what led to it."""
     rigs: list[processes.Rig] = []
-    found = processes.play(soak.drawn(seed), rigs)
+    found = processes.play(soak.draw_scenario(seed), rigs)
     verdict, kept = found.verdict, found.verdict.kept and not found.faults
     answers = sum(verdict.answers.values())
     console.print(
@@ -66,7 +66,9 @@
         console.print(f"  again: {again}", highlight=False)
     if verdict.first is not None:
         (rig,) = rigs
-        lines = [str(line) for line in timeline.of_offence(verdict.first, rig.wire, rig.said, rig.begin_at)]
+        lines = [
+            str(line) for line in timeline.of_offence(verdict.first, rig.wire, rig.log_events, rig.begin_at)
+        ]
     for line in lines:
         console.print(f"  {line}", highlight=False, markup=False, soft_wrap=True)
     return {"seed": seed, "kept": kept, **found.told(), "timeline": lines}
--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -25,9 +25,9 @@
 
 
 class Explorer:
-    def __init__(self, steps: int = 6, claims: int = 2, restarts: int = 1, make=LeaderElection) -> None:
+    def __init__(self, steps: int = 6, max_ballots: int = 2, restarts: int = 1, make=LeaderElection) -> None:
         """Bounds of the world; `make`: what is explored, a test hands in one with a fault planted."""
-        self.steps, self.claims, self.restarts = steps, claims, restarts
+        self.steps, self.max_ballots, self.restarts = steps, max_ballots, restarts
         self.sent: list[tuple] = []
         self.make = make
         self.members = [
@@ -43,17 +43,19 @@
 
     def load(self, world: World, n: int) -> LeaderElection:
         member = self.members[n]
-        (member.life, member.silent_until, member.vote, member.round, member.valid_until, claims) = (
+        (member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots) = (
             world.seats[n]
         )
-        member.ballots = {number: (at, set(votes)) for number, at, votes in claims}
+        member.ballots = {number: (at, set(votes)) for number, at, votes in frozen_ballots}
         self.sent.clear()
         return member
 
     @staticmethod
     def freeze(member: LeaderElection) -> tuple:
-        claims = tuple((number, at, tuple(sorted(votes))) for number, (at, votes) in member.ballots.items())
-        return member.life, member.silent_until, member.vote, member.round, member.valid_until, claims
+        frozen_ballots = tuple(
+            (number, at, tuple(sorted(votes))) for number, (at, votes) in member.ballots.items()
+        )
+        return member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots
 
     def after(self, world: World, n: int, member: LeaderElection) -> World:
         """What is sent stays in the air: it may arrive at any time, never, or any number of times."""
@@ -73,7 +75,7 @@
         for n in (0, 1):
             now = self.clock(world, n)
             member = self.load(world, n)
-            if member.round < self.claims and now >= member.silent_until:
+            if member.round < self.max_ballots and now >= member.silent_until:
                 member.request_votes(now)
                 yield self.after(world, n, member)
             member = self.load(world, n)
--- a/basalthook/lab/faults.py
+++ b/basalthook/lab/faults.py
@@ -123,10 +123,10 @@
     loses = doubles = reorders = delay = spoils = 0.0
 
     def begin(self, fleet) -> None:
-        fleet.links.begin(self)
+        fleet.links.add_fault(self)
 
     def end(self, fleet) -> None:
-        fleet.links.end(self)
+        fleet.links.remove_fault(self)
 
 
 class Cut(Between, tag="cut"):
@@ -185,7 +185,7 @@
         fleet.stop_proxy(proxy)
 
     def mend(self, fleet, proxy):
-        fleet.go_on_proxy(proxy)
+        fleet.resume_proxy(proxy)
 
 
 class ClockFault(OfProxies, tag="clock"):
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -31,7 +31,7 @@
 LONGEST_WAY = 40_000  # ticks that a datagram may be late: longer than a lease
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     at: int
     what: str
@@ -64,7 +64,7 @@
 
 
 class Member:
-    def __init__(self, run: "Run", n: int) -> None:
+    def __init__(self, run: "LeaseSchedule", n: int) -> None:
         self.run, self.n, self.name, self.proxy = run, n, f"p{n}", Decisions(run.hosts)
         self.life, self.numbers = run.lives[n], count()
         chance = Random(f"{run.seed} {n} {self.life}")
@@ -116,7 +116,7 @@
                 lasts = int(HARD_LIMIT / run.rates[self.n] * run.chance.uniform(0.05, 0.97))
                 server.attempts[number] = proxy.attempts[number] = server, now, now
                 run.began(server.id)
-                run.later(lasts, self.ended, server, number)
+                run.call_later(lasts, self.ended, server, number)
 
     def ended(self, server, number: int) -> None:
         """The host has done its work, whether or not the proxy still lives."""
@@ -130,7 +130,7 @@
             self.go(now)
 
 
-class Run:
+class LeaseSchedule:
     def __init__(self, seed: int, make=Member, faults: tuple = ("cut", "cut", "bad", "kill", "stop")) -> None:
         """`make`: what is played, a test hands in a member with a bug planted; `faults`: drawn from these."""
         self.seed, self.chance, self.make, self.faults = seed, Random(f"leases {seed}"), make, faults
@@ -153,7 +153,7 @@
         self.ways, self.bad = {}, []  # (from, to) -> faults that hold there
         self.had = 0  # hops begun in the quiet's end
 
-    def later(self, delay: int, call, *given) -> None:
+    def call_later(self, delay: int, call, *given) -> None:
         heappush(self.heap, (self.now + max(0, delay), next(self.order), call, given))
 
     def clock(self, n: int) -> int:
@@ -169,7 +169,7 @@
         self.spent.append(self.now)
         self.had += self.now > self.end - QUIET // 4
         if self.held[host] > self.limits[0].amount:
-            self.broken.append(Broken("over", self.now, f"{self.held[host]} at {host}"))
+            self.broken.append(Violation("over", self.now, f"{self.held[host]} at {host}"))
 
     def tokens(self) -> None:
         limit, level, last = self.limits[1], 0.0, 0
@@ -177,32 +177,32 @@
             level = max(0.0, level - limit.amount * (at - last) / 10_000) + 1
             last = at
             if level > limit.burst + 1e-6:
-                self.broken.append(Broken("spent", at, f"{level:.1f} of {limit.burst}"))
+                self.broken.append(Violation("spent", at, f"{level:.1f} of {limit.burst}"))
                 return
 
     # ---- the run
 
-    def play(self) -> list[Broken]:
+    def play(self) -> list[Violation]:
         chance, self.begin = self.chance, self.now
         self.end = self.begin + TROUBLE + QUIET
         for n in range(self.size):
-            self.later(chance.randrange(3_000), self.start, n)
+            self.call_later(chance.randrange(3_000), self.start, n)
         for _ in range(chance.randint(2, 8)):
             self.plan()
         for _ in range(chance.randint(5, 30)):
-            self.later(
+            self.call_later(
                 chance.randrange(TROUBLE),
                 self.demand.__setitem__,
                 chance.randrange(self.size),
                 chance.choice((0, 0, 1, 3, 8)),
             )
-        self.later(TROUBLE, self.demand.__setitem__, slice(0, self.size), [1] * self.size)
+        self.call_later(TROUBLE, self.demand.__setitem__, slice(0, self.size), [1] * self.size)
         while self.heap and self.heap[0][0] <= self.end:
             self.now, _, call, given = heappop(self.heap)
             call(*given)
         self.tokens()
         if not self.had:
-            self.broken.append(Broken("idle", self.now, "nobody was served in the quiet"))
+            self.broken.append(Violation("idle", self.now, "nobody was served in the quiet"))
         return self.broken
 
     def plan(self) -> None:
@@ -219,18 +219,18 @@
                 if a in side and b not in side and a != b
             ]
             cut += [(b, a) for a, b in cut] * chance.choice((0, 1))
-            self.later(begin, self.cut, cut, 1)
-            self.later(begin + lasts, self.cut, cut, -1)
+            self.call_later(begin, self.cut, cut, 1)
+            self.call_later(begin + lasts, self.cut, cut, -1)
         elif what == "bad":
             fault = chance.random() * 0.6, chance.random() * 0.5, chance.choice((200, 5_000, LONGEST_WAY))
-            self.later(begin, self.bad.append, fault)
-            self.later(begin + lasts, self.bad.remove, fault)
+            self.call_later(begin, self.bad.append, fault)
+            self.call_later(begin + lasts, self.bad.remove, fault)
         elif what == "kill":
-            self.later(begin, self.kill, n)
-            self.later(begin + min(lasts, chance.choice((500, 60_000))), self.start, n)
+            self.call_later(begin, self.kill, n)
+            self.call_later(begin + min(lasts, chance.choice((500, 60_000))), self.start, n)
         else:
-            self.later(begin, self.stop, n)
-            self.later(begin + min(lasts, 90_000), self.go_on, n)
+            self.call_later(begin, self.stop, n)
+            self.call_later(begin + min(lasts, 90_000), self.go_on, n)
 
     def cut(self, ways: list, more: int) -> None:
         for way in ways:
@@ -243,7 +243,7 @@
         lost, doubled, late = max(self.bad, default=(0.0, 0.0, 20))
         for _ in range(1 + (chance.random() < doubled)):
             if chance.random() >= lost:
-                self.later(3 + chance.randrange(late), self.arrives, target, message)
+                self.call_later(3 + chance.randrange(late), self.arrives, target, message)
 
     def arrives(self, n: int, message: list) -> None:
         if n in self.stopped:
@@ -263,7 +263,7 @@
     def tick(self, n: int, life: int) -> None:
         if self.members[n] is None or self.lives[n] != life:
             return
-        self.later(TICK, self.tick, n, life)
+        self.call_later(TICK, self.tick, n, life)
         if n not in self.stopped:
             self.members[n].tick()
 
@@ -284,8 +284,8 @@
                 self.arrives(n, message)
 
 
-def broken(seed: int) -> tuple[int, list[Broken]]:
-    return seed, Run(seed).play()
+def broken(seed: int) -> tuple[int, list[Violation]]:
+    return seed, LeaseSchedule(seed).play()
 
 
 def main() -> None:
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -18,16 +18,20 @@
     for limit in told.fleet.limits:
         rule = bound(limit, names)
         if rule.counts_places:
-            most, used = held(wire, rule.amount, refused)
+            most, used = most_held(wire, rule.amount, refused)
             over = max(0.0, most / rule.amount - 1) if rule.amount else float(most)
         else:
-            times = first_hops(wire, set(limit.profiles)) if rule.kind == bounds.RATE else further(wire)
-            over, used = beyond(times, rule.amount, rule.burst), served(times, rule.amount, refused)
+            times = (
+                first_attempt_times(wire, set(limit.profiles))
+                if rule.kind == bounds.RATE
+                else retry_times(wire)
+            )
+            over, used = excess(times, rule.amount, rule.burst), used_share(times, rule.amount, refused)
         found[limit.name] = {"over_most": round(over, 3), "over_bound": rule.max_excess(), "used": used}
     return found
 
 
-def held(wire: list, amount: float, refused: set[int]) -> tuple[int, float | None]:
+def most_held(wire: list, amount: float, refused: set[int]) -> tuple[int, float | None]:
     """The most that any host held at once, and the mean part of all places that was held in such seconds."""
     now, most, sums, hosts = Counter(), 0, defaultdict(list), set()
     for e in wire:
@@ -41,12 +45,12 @@
             continue
         if int(e.at) in refused:
             sums[int(e.at)].append(now.total())
-    means = [sum(held) / len(held) for held in sums.values()]
+    means = [sum(most_held) / len(most_held) for most_held in sums.values()]
     places = amount * len(hosts)
     return most, round(sum(means) / len(means) / places, 3) if means and places else None
 
 
-def first_hops(wire: list, profiles: set[str]) -> list[float]:
+def first_attempt_times(wire: list, profiles: set[str]) -> list[float]:
     asked = {e.tx: e.profile for e in wire if isinstance(e, Asked)}
     first = {}
     for e in wire:
@@ -55,7 +59,7 @@
     return sorted(first.values())
 
 
-def further(wire: list) -> list[float]:
+def retry_times(wire: list) -> list[float]:
     """Each hop beyond a transaction's first."""
     met, found = set(), []
     for e in wire:
@@ -66,7 +70,7 @@
     return found
 
 
-def beyond(times: list[float], amount: float, burst: float) -> float:
+def excess(times: list[float], amount: float, burst: float) -> float:
     """The least part by which amount and burst would have to be larger for no window to hold too many."""
 
     def fits(part: float) -> bool:
@@ -91,7 +95,7 @@
     return high
 
 
-def served(times: list[float], amount: float, refused: set[int]) -> float | None:
+def used_share(times: list[float], amount: float, refused: set[int]) -> float | None:
     """Of whole seconds in which somebody was refused."""
     counts = Counter(int(at) for at in times)
     if not refused or not amount:
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -29,8 +29,8 @@
 from .scenario import BadScenario, Scenario, moments
 from .standins import Fleet
 from .start import settings
-from .talking import keepers
-from .underclock import VARIABLE, worded
+from .talking import limit_voters
+from .underclock import CLOCK_VARIABLE, encode_clock_faults
 from .wire import Excused
 
 LIBC = ctypes.CDLL(None) if sys.platform == "linux" else None
@@ -57,7 +57,7 @@
         self.addresses: list = [None] * told.proxies  # of those that clients may ask
         self.consoles: list = [None] * told.proxies
         self.clients: Clients | None = None
-        self.said: list[tuple] = []  # (when read, proxy, event, fields): the proxies' own logs
+        self.log_events: list[tuple] = []  # (when read, proxy, event, fields): the proxies' own logs
         self.readers: set[asyncio.Task] = set()  # emptied as processes end
         self.stopped: set[int] = set()
         self.faults: list[dict] = []  # what a log called one
@@ -91,16 +91,16 @@
             key = folder / "key"
             key.write_bytes(KEY)
             key.chmod(0o600)
-            seeds = [f"127.0.0.1:{port}" for _, port in self.relays.told[:SEEDS]]
+            seeds = [f"127.0.0.1:{port}" for _, port in self.relays.public_addresses[:SEEDS]]
             lines = [
-                f'listen = "127.0.0.1:{self.relays.real[n][1]}"',
+                f'listen = "127.0.0.1:{self.relays.member_addresses[n][1]}"',
                 f"seeds = {seeds}",
                 'key_file = "key"',
-                f'address = "127.0.0.1:{self.relays.told[n][1]}"',
+                f'address = "127.0.0.1:{self.relays.public_addresses[n][1]}"',
                 f"shares = {self.told.fleet.shares}",
             ]
             if self.told.fleet.limits:
-                lines.append(f"keepers = {keepers(self.told.proxies)}")
+                lines.append(f"keepers = {limit_voters(self.told.proxies)}")
             for limit in self.told.fleet.limits:
                 lines.append("[[limits]]")
                 lines += [
@@ -116,11 +116,11 @@
         environ = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
         module, clocks = "basalthook", self.clocks_of(n)
         if clocks:
-            module, environ[VARIABLE] = "basalthook.lab.underclock", worded(clocks)
+            module, environ[CLOCK_VARIABLE] = "basalthook.lab.underclock", encode_clock_faults(clocks)
         if self.told.system_calls is not None:
             chances = msgspec.structs.replace(self.told.system_calls, seed=self.told.seed * 1000 + n)
             module = "basalthook.lab.underclock"
-            environ[syscalls.VARIABLE] = msgspec.json.encode(chances).decode()
+            environ[syscalls.ENVIRONMENT_VARIABLE] = msgspec.json.encode(chances).decode()
         call = [sys.executable, "-m", module, "serve", "--file", str(folder / "start.json")]
         if self.told.fleet is not None:
             call += ["--fleet", str(folder / "fleet.toml")]
@@ -161,7 +161,7 @@
                 self.faults.append({"proxy": n, "line": line[:200].decode("utf-8", "replace")})
                 continue
             event = fields.pop("event")
-            self.said.append((self.clock(), n, event, fields))
+            self.log_events.append((self.clock(), n, event, fields))
             if event == "ready" and self.running[n] is process:
                 self.addresses[n], self.consoles[n] = tuple(fields["listen"]), tuple(fields["console"])
             elif event == "fault":
@@ -169,7 +169,7 @@
         if self.running[n] is process and await process.wait() not in (0, -signal.SIGKILL, -signal.SIGTERM):
             self.faults.append({"proxy": n, "exit": process.returncode})
 
-    def excuse(self, n: int) -> None:
+    def excuse_open_transactions(self, n: int) -> None:
         """What is open at a process that is about to be killed or stopped can't be answered by anyone."""
         self.addresses[n] = None
         for client in self.clients.all:
@@ -182,7 +182,7 @@
     # ---- faults of proxies
 
     def kill_proxy(self, n: int) -> None:
-        self.excuse(n)
+        self.excuse_open_transactions(n)
         if self.running[n] is not None:
             signalled(self.running[n], signal.SIGKILL)
             self.running[n] = None
@@ -203,7 +203,7 @@
             self.running[n] = None
 
     def start_proxy(self, n: int, forgets: bool) -> None:
-        self.later(self.again(n, forgets))
+        self.run_in_background(self.again(n, forgets))
 
     async def again(self, n: int, forgets: bool) -> None:
         if forgets:
@@ -211,7 +211,7 @@
         await self.start(n)
 
     def reconfigure(self, n: int, times: int, lasts: float) -> None:
-        self.later(self.reconfigure_in_a_row(n, times, lasts / times))
+        self.run_in_background(self.reconfigure_in_a_row(n, times, lasts / times))
 
     async def reconfigure_in_a_row(self, n: int, times: int, pause: float) -> None:
         """New start-up files, each with discovery at another address, and SIGHUP after each."""
@@ -231,15 +231,17 @@
         signalled(self.running[n], signal.SIGCONT)
 
     def stop_proxy(self, n: int) -> None:
-        self.excuse(n)
+        self.excuse_open_transactions(n)
         self.stopped.add(n)
         signalled(self.running[n], signal.SIGSTOP)
 
-    def go_on_proxy(self, n: int) -> None:
+    def resume_proxy(self, n: int) -> None:
         signalled(self.running[n], signal.SIGCONT)
         self.stopped.discard(n)
         at = next(
-            fields["listen"] for _, who, event, fields in reversed(self.said) if who == n and event == "ready"
+            fields["listen"]
+            for _, who, event, fields in reversed(self.log_events)
+            if who == n and event == "ready"
         )
         # guards against clients that it would find waiting since before, and answer too late
         asyncio.get_running_loop().call_later(LOOK, self.addresses.__setitem__, n, tuple(at))
@@ -247,7 +249,7 @@
     def set_clock(self, n: int, ahead: float, rate: float) -> None:
         """Its clocks know by themselves when: they were told at its start."""
 
-    def later(self, work) -> None:
+    def run_in_background(self, work) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
@@ -275,30 +277,33 @@
         """`staleness` is of the proxies' own logs against what the relays saw; messages are the relays'."""
         relays, seconds, count = self.relays, self.told.seconds, self.told.proxies
         staleness, over = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
-        for at, n, event, fields in self.said:
+        for at, n, event, fields in self.log_events:
             for mark in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
-                if mark in relays.first:
-                    kind, age = relays.kinds[mark], self.acted(at, n, fields) - relays.first[mark]
+                if mark in relays.first_published:
+                    kind, age = (
+                        relays.fact_kinds[mark],
+                        self.verdict_time(at, n, fields) - relays.first_published[mark],
+                    )
                     staleness[kind] = max(staleness[kind], age)
                     over += age > FACT_LIFETIMES[kind] / 10_000 * (1 + CLOCKS_APART) + LOOK
         suspected = Counter(
             (at, fields["name"])
-            for at, _, event, fields in self.said
+            for at, _, event, fields in self.log_events
             if event == "member" and fields["state"] == "suspect"
         )
-        false = sum(self.alive(name, at) for at, name in suspected.elements())
+        false = sum(self.was_reachable(name, at) for at, name in suspected.elements())
         rates = [relays.sent_bytes[n] / seconds for n in range(count)]
         sent = [relays.sent[n] / seconds for n in range(count)]
         return {
             "staleness": {kind: round(age, 3) for kind, age in staleness.items()},
             "over_age": over,
-            "younger": len(relays.younger),
-            **self.spread(begin),
+            "younger": len(relays.too_young_facts),
+            **self.detection_times(begin),
             "false_suspicions": false,
             "messages": {"datagrams_s": mean_and_most(sent), "bytes_s": mean_and_most(rates)},
         }
 
-    def acted(self, at: float, n: int, fields: dict) -> float:
+    def verdict_time(self, at: float, n: int, fields: dict) -> float:
         """When a proxy did what it says: when the line was read; or, as a line may lie in a process that is
         stopped, when that one says, if it was stopped just before."""
         for fault in self.told.faults:
@@ -307,7 +312,7 @@
                 return min(at, fields["at"] - self.wall_ahead)
         return at
 
-    def alive(self, name: str, at: float) -> bool:
+    def was_reachable(self, name: str, at: float) -> bool:
         """Whether the rig knew this proxy as running then, and cut off from nobody."""
         since = at - self.begin_at
         for fault in self.told.faults:
@@ -316,12 +321,12 @@
                 return False
         return True
 
-    def spread(self, begin: float) -> dict:
+    def detection_times(self, begin: float) -> dict:
         """For each fault, seconds until the first and the last member that runs has one of its hosts out."""
         detect, agree = [], []
         for fault in self.told.faults:
             first: dict[str, dict[int, float]] = {}
-            for at, n, event, fields in self.said:
+            for at, n, event, fields in self.log_events:
                 host = fields.get("id", "")
                 if (
                     event == "verdict"
--- a/basalthook/lab/scenario.py
+++ b/basalthook/lab/scenario.py
@@ -189,8 +189,8 @@
         for side, ends in enumerate(getattr(fault, "between", ())):
             for which, name in enumerate(ends):
                 try:
-                    links.ends(name, found.proxies, found.size)
-                except links.BadName as wrong:
+                    links.endpoint_names(name, found.proxies, found.size)
+                except links.InvalidEndpointName as wrong:
                     at = f"$.faults[{n}].between[{side}][{which}]"
                     raise BadScenario(f"{path}: {wrong} - at `{at}`") from None
     names = [profile.name for profile in found.load.profiles]
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -20,23 +20,23 @@
 
 from ..fleet.gossip import Gossip
 from .faults import Cut, Lossy
-from .links import Links, spoil
+from .links import Links, flip_random_bit
 
-KEY, LIVES = b"schedules have a key of their own", {"host": 30_000, "trial": 600_000}
+KEY, FACT_LIFETIMES = b"schedules have a key of their own", {"host": 30_000, "trial": 600_000}
 TICK, WAY = 500, 10  # tenths of a millisecond: between two ticks of a member; a datagram's way
 TROUBLE, QUIET = 200_000, 150_000
 RATES = 1.0, 1.0, 1.02, 0.98
 DRIFT, GRAIN = 0.05, 600  # parts by which clocks may be apart; ticks between two looks
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     at: int
     member: int
     what: str
 
 
-class Run:
+class GossipSchedule:
     def __init__(self, seed: int, talk=Gossip) -> None:
         """`talk`: what is played; a test hands in one with a fault planted."""
         self.chance, self.now, self.heap, self.order = Random(f"schedule {seed}"), 1_000_000, [], count()
@@ -47,7 +47,7 @@
         self.rates = [self.chance.choice(RATES) for _ in range(self.size)]
         self.ahead = [self.chance.choice((0, 0, 36_000_000)) for _ in range(self.size)]
         self.told: dict[tuple, int] = {}  # (author, life, sequence) -> when, by the true clock
-        self.broken: list[Broken] = []
+        self.broken: list[Violation] = []
 
     def later(self, delay: int, call, *given) -> None:
         heappush(self.heap, (self.now + delay, next(self.order), call, given))
@@ -55,7 +55,7 @@
     def clock(self, n: int) -> int:
         return int(self.now * self.rates[n]) + self.ahead[n]
 
-    def play(self) -> list[Broken]:
+    def play(self) -> list[Violation]:
         self.begin, chance = self.now, self.chance
         for n in range(self.size):
             self.later(chance.randrange(5_000), self.start, n)
@@ -94,8 +94,8 @@
                     spoils=chance.choice((0, 0.1)),
                 )
             )
-            self.later(begin, self.links.begin, fault)
-            self.later(begin + lasts, self.links.end, fault)
+            self.later(begin, self.links.add_fault, fault)
+            self.later(begin + lasts, self.links.remove_fault, fault)
         elif what == "kill":
             self.later(begin, self.kill, n)
             self.later(begin + lasts, self.start, n)
@@ -117,7 +117,7 @@
             life,
             seeds,
             KEY,
-            LIVES,
+            FACT_LIFETIMES,
             Random(self.chance.random()),
             lambda address, data: self.send(n, address, data),
         )
@@ -149,14 +149,14 @@
         talk = self.talks[n]
         if talk is None or n in self.stopped:
             return
-        kind, subject = self.chance.choice(tuple(LIVES)), self.chance.choice("abc")
+        kind, subject = self.chance.choice(tuple(FACT_LIFETIMES)), self.chance.choice("abc")
         fact = talk.table.publish(self.clock(n), kind, subject, (self.chance.randrange(9),), len(talk.live()))
         self.told[fact.author, fact.life, fact.sequence] = self.now
 
     def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
-        way = self.links.datagram(f"p{n}", address[0])
+        way = self.links.datagram_outcome(f"p{n}", address[0])
         for late in way.copies:
-            sent = spoil(data, self.chance) if way.spoilt else data
+            sent = flip_random_bit(data, self.chance) if way.corrupted else data
             self.later(WAY + int(late * 10_000), self.arrive, int(address[0][1:]), sent, (f"p{n}", 1))
 
     def arrive(self, n: int, data: bytes, source) -> None:
@@ -173,8 +173,8 @@
     def look(self, n: int, talk) -> None:
         for fact in talk.table.live_facts(self.clock(n)):
             told = self.told.get((fact.author, fact.life, fact.sequence))
-            if told is not None and self.now - told > LIVES[fact.kind] * (1 + DRIFT) + GRAIN:
-                self.broken.append(Broken("old", self.now - self.begin, n, f"{fact}, {self.now - told}"))
+            if told is not None and self.now - told > FACT_LIFETIMES[fact.kind] * (1 + DRIFT) + GRAIN:
+                self.broken.append(Violation("old", self.now - self.begin, n, f"{fact}, {self.now - told}"))
 
     def settled(self) -> None:
         living = {f"p{n}" for n, talk in enumerate(self.talks) if talk is not None}
@@ -183,7 +183,7 @@
             if talk is None:
                 continue
             if set(talk.live()) != living:
-                self.broken.append(Broken("apart", self.now - self.begin, n, f"{talk.live()} of {living}"))
+                self.broken.append(Violation("apart", self.now - self.begin, n, f"{talk.live()} of {living}"))
             words = talk.table.live_facts(self.clock(n))
             held[n] = {(f.author, f.life, f.kind, f.subject, f.sequence) for f in words if self.sure(f)}
             mine = {(f.author, f.life, f.sequence) for f in words}
@@ -192,24 +192,24 @@
                 key=lambda key: key[2],
                 default=None,
             )
-            if last not in mine and self.now - self.told.get(last, 0) < min(LIVES.values()) * 0.9:
-                self.broken.append(Broken("forgot", self.now - self.begin, n, f"{last}"))
+            if last not in mine and self.now - self.told.get(last, 0) < min(FACT_LIFETIMES.values()) * 0.9:
+                self.broken.append(Violation("forgot", self.now - self.begin, n, f"{last}"))
         first = next(iter(held.values()), None)
         for n, words in held.items():
             if words != first:
-                self.broken.append(Broken("unlike", self.now - self.begin, n, f"{words ^ first}"))
+                self.broken.append(Violation("unlike", self.now - self.begin, n, f"{words ^ first}"))
 
     def sure(self, fact) -> bool:
         """Neither so young that it may be on its way, nor so old that who got it late, and so counts it
         as older than it is, may have let it go."""
         age = self.now - self.told.get((fact.author, fact.life, fact.sequence), self.now)
-        return 60_000 <= age <= LIVES[fact.kind] / 2
+        return 60_000 <= age <= FACT_LIFETIMES[fact.kind] / 2
 
 
 def main(first: int, number: int) -> int:
     found = Counter()
     for seed in range(first, first + number):
-        broken = Run(seed).play()
+        broken = GossipSchedule(seed).play()
         if broken:
             found[broken[0].rule] += 1
             print(f"seed {seed}: {broken[0]}", flush=True)
--- a/basalthook/lab/soak.py
+++ b/basalthook/lab/soak.py
@@ -14,7 +14,7 @@
 RESTARTED = 4.5  # seconds from SIGTERM to the next start: past the earliest kill
 
 
-def drawn(seed: int) -> Scenario:
+def draw_scenario(seed: int) -> Scenario:
     """The day of this seed; the same for ever, as long as this file stays as it is."""
     random, further = Random(f"soak {seed}"), Random(f"further faults of soak {seed}")
     limit = random.choice((0.8, 1.5, 3.0))
--- a/basalthook/lab/standins.py
+++ b/basalthook/lab/standins.py
@@ -92,7 +92,7 @@
 
     def carry(self, source: str, target: str, call, *given) -> None:
         """A message on its way, if it comes through."""
-        late = self.links.stream(source, target)
+        late = self.links.message_delay(source, target)
         if late == 0:
             call(*given)
         elif late is not None:
--- a/basalthook/lab/syscalls.py
+++ b/basalthook/lab/syscalls.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-VARIABLE = "BASALTHOOK_LAB_SYSCALLS"
+ENVIRONMENT_VARIABLE = "BASALTHOOK_LAB_SYSCALLS"
 ACCEPT = (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
 CREATE = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 CONNECT = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN)
@@ -28,7 +28,7 @@
     seed: int = 1
 
 
-def faulty(chances: Chances) -> type[socket.socket]:
+def faulty_socket_class(chances: Chances) -> type[socket.socket]:
     """A class for `socket.socket`; only IPv4 stream sockets fail."""
     random, real = Random(f"system calls {chances.seed}"), socket.socket
 
@@ -80,4 +80,4 @@
 
 def install(worded: str) -> None:
     """By the variable's value, JSON of `Chances`."""
-    socket.socket = faulty(msgspec.json.decode(worded, type=Chances))
+    socket.socket = faulty_socket_class(msgspec.json.decode(worded, type=Chances))
--- a/basalthook/lab/underclock.py
+++ b/basalthook/lab/underclock.py
@@ -12,14 +12,14 @@
 from ..routing import clock
 from . import syscalls
 
-VARIABLE = "BASALTHOOK_LAB_CLOCK"
+CLOCK_VARIABLE = "BASALTHOOK_LAB_CLOCK"
 
 
-def worded(entries: list[tuple[int, int, float, float]]) -> str:
+def encode_clock_faults(entries: list[tuple[int, int, float, float]]) -> str:
     return ";".join(",".join(map(repr, entry)) for entry in entries)
 
 
-class Clocks:
+class FaultyClocks:
     """A monotonic clock may run at another rate and never jumps; a wall clock jumps."""
 
     def __init__(self, worded_: str) -> None:
@@ -42,9 +42,9 @@
 
 
 if __name__ == "__main__":
-    if VARIABLE in os.environ:
-        clocks = Clocks(os.environ[VARIABLE])
+    if CLOCK_VARIABLE in os.environ:
+        clocks = FaultyClocks(os.environ[CLOCK_VARIABLE])
         clock.monotonic_ns, clock.wall_ns = clocks.monotonic_ns, clocks.wall_ns
-    if syscalls.VARIABLE in os.environ:
-        syscalls.install(os.environ[syscalls.VARIABLE])
+    if syscalls.ENVIRONMENT_VARIABLE in os.environ:
+        syscalls.install(os.environ[syscalls.ENVIRONMENT_VARIABLE])
     main()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,14 +35,15 @@
         seed=seed,
         **k,
     )
-    run = decisions.Fleet(told, seed)
+    run = decisions.SimulatedFleet(told, seed)
     run.run()
-    return run, found(told, run.wire, decisions.BORN, "decisions", digest=run.digest.hexdigest())
+    return run, found(told, run.wire, decisions.START_TIME, "decisions", digest=run.digest.hexdigest())
 
 
 def hops(run, hosts, begin=0.0, end=99.0):
     return sum(
-        isinstance(e, Got) and e.host in hosts and begin <= e.at - decisions.BORN < end for e in run.wire
+        isinstance(e, Got) and e.host in hosts and begin <= e.at - decisions.START_TIME < end
+        for e in run.wire
     )
 
 
@@ -71,9 +72,11 @@
         gone = list(range(0, HOSTS, 2))
         run, result = fleet(rate=600, faults=[faults.Vanish(at=3, hosts=gone, lasts=99)])
         self.assertGreater(result.verdict.service, 0.8)
-        self.assertGreater(len(run.unreached), 0)
-        self.assertLess(max(run.unreached.values()), 12)  # what was under way when the first one failed
-        self.assertLess(sum(run.unreached.values()) / len(run.unreached), 3.0)
+        self.assertGreater(len(run.unreachable_attempts), 0)
+        self.assertLess(
+            max(run.unreachable_attempts.values()), 12
+        )  # what was under way when the first one failed
+        self.assertLess(sum(run.unreachable_attempts.values()) / len(run.unreachable_attempts), 3.0)
 
     def test_list_calls_are_spread_also_when_most_of_them_fail(self):
         run, _ = fleet(rate=100, seconds=20, discovery=s.Discovery(mode="on_request", fails=0.7, notice=0.1))
@@ -89,8 +92,8 @@
     def test_every_transaction_has_one_answer_in_an_overload(self):
         run, result = fleet(10, rate=900, seconds=4, proxies=10)
         self.assertTrue(result.verdict.kept, result.verdict.first)
-        self.assertFalse(run.open)
-        self.assertFalse(run.hops)
+        self.assertFalse(run.open_transactions)
+        self.assertFalse(run.attempt_counts)
         self.assertGreater(result.verdict.answers["rolled_back"], 0)
 
     def test_a_cold_host_at_an_idle_fleet_is_not_rested_for_being_cold(self):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -29,7 +29,7 @@
 from basalthook.fleet.limits import LEASE_GRANT, LEASE_REQUEST, MAX_UNITS
 from basalthook.lab import overrun
 from basalthook.lab.explore import Explorer
-from basalthook.lab.leases import HARD_LIMIT, Member, Run
+from basalthook.lab.leases import HARD_LIMIT, LeaseSchedule, Member
 from basalthook.lab.wire import Done, Got
 from basalthook.membership import wire
 from basalthook.policy import interface
@@ -68,7 +68,7 @@
     def __init__(self, run, n):
         super().__init__(run, n)
         publish = self.limits.publish_allowance
-        self.limits.publish_allowance = lambda now: run.later(30, publish, now)
+        self.limits.publish_allowance = lambda now: run.call_later(30, publish, now)
 
 
 class VoterWithoutSilence(LeaderElection):
@@ -82,7 +82,7 @@
 class Schedules(unittest.TestCase):
     def test_no_limit_is_exceeded_and_free_capacity_is_used(self):
         for seed in (*range(10), 36, 59, 154, 432):  # the last four failed during development
-            self.assertEqual(Run(seed).play(), [], seed)
+            self.assertEqual(LeaseSchedule(seed).play(), [], seed)
 
     def test_planted_faults_are_detected(self):
         for member_class, rule in (
@@ -91,7 +91,9 @@
             (ReportsBeforeGivingUp, "over"),
         ):
             found = (
-                violation.rule for seed in range(60) for violation in Run(seed, member_class, ("bad",)).play()
+                violation.rule
+                for seed in range(60)
+                for violation in LeaseSchedule(seed, member_class, ("bad",)).play()
             )
             self.assertEqual(next(found, None), rule, member_class)
 
@@ -100,7 +102,9 @@
 
         With seed 432 of the schedules this brought a host with three places to four attempts.
         """
-        run = next(run for run in map(Run, range(20)) if int(run.limits[0].floor * run.limits[0].amount))
+        run = next(
+            run for run in map(LeaseSchedule, range(20)) if int(run.limits[0].floor * run.limits[0].amount)
+        )
         members = [Member(run, n) for n in range(run.size)]
 
         def own():
@@ -122,16 +126,16 @@
 
 class SmallElections(unittest.TestCase):
     def test_no_state_of_a_small_election_has_two_leaders(self):
-        states, bad = Explorer(steps=2, claims=1, restarts=0).run()
+        states, bad = Explorer(steps=2, max_ballots=1, restarts=0).run()
         self.assertIsNone(bad)
         self.assertGreater(states, 10_000)
 
     def test_a_restarted_voter_that_votes_at_once_is_detected(self):
-        self.assertIsNotNone(Explorer(steps=1, claims=1, restarts=1, make=VoterWithoutSilence).run()[1])
+        self.assertIsNotNone(Explorer(steps=1, max_ballots=1, restarts=1, make=VoterWithoutSilence).run()[1])
 
     def test_a_leader_without_the_margin_for_clock_drift_is_detected(self):
         with unittest.mock.patch("basalthook.fleet.election.shorten_for_drift", lambda ticks, drift: ticks):
-            self.assertIsNotNone(Explorer(steps=3, claims=1, restarts=0).run()[1])
+            self.assertIsNotNone(Explorer(steps=3, max_ballots=1, restarts=0).run()[1])
 
     @given(st.integers(1, 10**6), st.floats(0, 0.3))
     def test_a_shortened_duration_on_a_slow_clock_ends_before_the_full_one_on_a_fast_clock(
@@ -144,7 +148,7 @@
     """A proxy with hundreds of hosts, and with a host that left the list."""
 
     def setUp(self):
-        self.run, self.sent_messages = Run(1), []
+        self.run, self.sent_messages = LeaseSchedule(1), []
         self.run.hosts, self.run.send = 200, lambda n, name, message: self.sent_messages.append(message)
         self.member = Member(self.run, 1)
         self.limits, self.proxy = self.member.limits, self.member.proxy
@@ -288,13 +292,13 @@
             return Got(at, 0, tx, 0.01, 1.0, None, True)
 
         events = [got(1, "a"), got(2, "b"), Done(3, 0, "a"), got(4, "c")]
-        self.assertEqual(overrun.held(events, 2, set())[0], 2)
-        self.assertEqual(overrun.held([*events, got(5, "d")], 2, set())[0], 3)
+        self.assertEqual(overrun.most_held(events, 2, set())[0], 2)
+        self.assertEqual(overrun.most_held([*events, got(5, "d")], 2, set())[0], 3)
 
     def test_tokens_spent_twice_are_measured(self):
         times = [n / 40 for n in range(400)]
-        self.assertEqual(overrun.beyond(times, 40, 20), 0.0)
-        self.assertGreater(overrun.beyond(sorted(times + times[100:200]), 40, 20), 0.2)
+        self.assertEqual(overrun.excess(times, 40, 20), 0.0)
+        self.assertGreater(overrun.excess(sorted(times + times[100:200]), 40, 20), 0.2)
 
     def test_guarantees_follow_from_the_settings(self):
         self.assertEqual(Limit("r", RATE, 40, 60, floor=0.25).max_excess(), 0.0)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 from basalthook.fleet import facts
 from basalthook.fleet.facts import Fact, FactTable
 from basalthook.fleet.gossip import FACTS, Gossip
-from basalthook.lab.schedules import KEY, LIVES, Run
+from basalthook.lab.schedules import FACT_LIFETIMES, KEY, GossipSchedule
 from basalthook.membership import wire
 from basalthook.membership.member import ALIVE, DEAD, PING, SUSPECT, Member, Update
 
@@ -69,7 +69,7 @@
     @given(st.lists(FACT_STRATEGY, max_size=25), st.randoms(use_true_random=False))
     def test_tables_with_the_same_facts_received_are_equal(self, received, rng):
         received = consistent(received)
-        one, other = FactTable("me", 1, LIVES), FactTable("you", 1, LIVES)
+        one, other = FactTable("me", 1, FACT_LIFETIMES), FactTable("you", 1, FACT_LIFETIMES)
         for fact in received:
             one.merge(100_000, fact)
         shuffled = received + received[::2]  # in another order, with duplicates
@@ -82,7 +82,7 @@
             self.assertEqual(one.digest(100_000, author), other.digest(100_000, author))
 
     def test_facts_expire_and_never_get_younger(self):
-        table, fact = FactTable("me", 1, LIVES), Fact("a", 1, "host", "x", 1, (), 10_000)
+        table, fact = FactTable("me", 1, FACT_LIFETIMES), Fact("a", 1, "host", "x", 1, (), 10_000)
         self.assertTrue(table.merge(50_000, fact))
         self.assertFalse(table.merge(51_000, fact._replace(age=0)))  # a smaller age is ignored
         self.assertEqual([f.age for f in table.facts_on(55_000, "host", "x")], [15_000])
@@ -91,7 +91,7 @@
         self.assertFalse(table.merge(80_000, fact._replace(kind="strange")))
 
     def test_a_later_life_voids_earlier_facts_and_facts_per_author_are_bounded(self):
-        table = FactTable("me", 1, LIVES)
+        table = FactTable("me", 1, FACT_LIFETIMES)
         for n in range(facts.MAX_FACTS_PER_AUTHOR + 9):
             table.merge(0, Fact("a", 1, "host", str(n), n, (), 0))
         self.assertEqual(
@@ -173,7 +173,14 @@
 def make_gossip():
     sent_datagrams = []
     gossip = Gossip(
-        "me", ("me", 1), 5, [], KEY, LIVES, Random(1), lambda address, data: sent_datagrams.append(data)
+        "me",
+        ("me", 1),
+        5,
+        [],
+        KEY,
+        FACT_LIFETIMES,
+        Random(1),
+        lambda address, data: sent_datagrams.append(data),
     )
     gossip.sent_datagrams = sent_datagrams
     gossip.begin(0)
@@ -279,7 +286,7 @@
 class Schedules(unittest.TestCase):
     def test_random_schedules_of_faults_violate_no_rule(self):
         for seed in range(1, 61):
-            self.assertEqual(Run(seed).play(), [], f"seed {seed}")
+            self.assertEqual(GossipSchedule(seed).play(), [], f"seed {seed}")
 
     def test_planted_faults_are_detected(self):
         for planted_class, seed, rule in (
@@ -289,7 +296,7 @@
         ):
             self.assertIn(
                 rule,
-                {violation.rule for violation in Run(seed, planted_class).play()},
+                {violation.rule for violation in GossipSchedule(seed, planted_class).play()},
                 planted_class.__name__,
             )
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -106,7 +106,7 @@
     def out(self, rig):
         return {
             (fields["id"], n)
-            for _, n, event, fields in rig.said
+            for _, n, event, fields in rig.log_events
             if event == "verdict" and fields["state"] == OUT
         }
 
@@ -124,7 +124,7 @@
         )
         self.assertEqual({host for host, _ in self.out(rig)}, {"host-0", "host-1", "host-2"})
         last = {}
-        for _, n, event, fields in rig.said:
+        for _, n, event, fields in rig.log_events:
             if event == "member" and _ < rig.begin_at + 13:
                 last[n, fields["name"]] = fields["state"]
         self.assertEqual({state for state in last.values()}, {"alive"})
@@ -137,7 +137,7 @@
         )
         self.assertEqual({host for host, _ in self.out(rig)}, {"host-0", "host-1", "host-2"})
         self.assertGreater(result.verdict.service, 0.95)
-        ready = sum(event == "ready" for _, _, event, _ in rig.said)
+        ready = sum(event == "ready" for _, _, event, _ in rig.log_events)
         self.assertEqual(ready, 15)
 
     def test_a_planted_word_told_younger_than_it_is_is_seen_by_the_relays(self):
@@ -145,19 +145,19 @@
         relays = Relays(2, Links(1, 2, 0), lambda: now, 1)
         for now, age in ((0.0, 100), (1.0, 10_100), (2.0, 15_000)):
             fact = Fact("p0", 1, "host", "x", 1, (), age)
-            relays.read(0, wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), now)
-            self.assertEqual(len(relays.younger), int(now == 2.0))
+            relays.inspect(0, wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), now)
+            self.assertEqual(len(relays.too_young_facts), int(now == 2.0))
 
     def test_a_fact_told_younger_than_at_its_question_is_seen_and_a_slow_answer_to_one_is_not(self):
         relays = Relays(2, Links(1, 2, 0), float, 1)
         born = 0.0
         for nonce, asked_at, age, found in ((1, 0.5, 0.5, 0), (2, 1.0, 1.0, 0), (3, 1.5, 1.4, 1)):
-            relays.read(1, wire.encode(b"k" * 16, [FETCH, "p1", nonce, []]), asked_at)
+            relays.inspect(1, wire.encode(b"k" * 16, [FETCH, "p1", nonce, []]), asked_at)
             fact = Fact("p0", 1, "host", "x", 1, (), int(age * 10_000))
             answered_at = asked_at if nonce == 1 else asked_at + 4.0
-            relays.read(0, wire.encode(b"k" * 16, [FACTS, "p0", nonce, [list(fact)]]), answered_at)
-            self.assertEqual(len(relays.younger), found)
-        self.assertEqual(list(relays.first.values()), [born])
+            relays.inspect(0, wire.encode(b"k" * 16, [FACTS, "p0", nonce, [list(fact)]]), answered_at)
+            self.assertEqual(len(relays.too_young_facts), found)
+        self.assertEqual(list(relays.first_published.values()), [born])
 
 
 class Late(unittest.IsolatedAsyncioTestCase):
@@ -166,18 +166,20 @@
         await relays.open()
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
-                member.bind(relays.real[0])
+                member.bind(relays.member_addresses[0])
                 await asyncio.sleep(0.1)  # until the system stamps what comes in
                 born = time.monotonic()
                 for late in (0.0, 0.15, 0.15):
                     age = int((time.monotonic() - born) * 10_000)
                     fact = Fact("p0", 1, "host", "x", 1, (), age)
-                    member.sendto(wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), relays.told[1])
+                    member.sendto(
+                        wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), relays.public_addresses[1]
+                    )
                     time.sleep(late)  # blocks the loop that reads it
                     await asyncio.sleep(0.02)
         finally:
             relays.close()
-        self.assertEqual((relays.sent[0], relays.younger), (3, []))
+        self.assertEqual((relays.sent[0], relays.too_young_facts), (3, []))
 
 
 class Files(unittest.TestCase):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
     def test_all_rules_hold_on_drawn_days_of_many_faults(self):
         for seed in (2, 5, 6):
             with self.subTest(seed=seed):
-                result = processes.play(soak.drawn(seed))
+                result = processes.play(soak.draw_scenario(seed))
                 self.assertEqual((result.faults, result.verdict.first), ([], None))
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest.mock import patch
 
-from basalthook.lab.syscalls import Chances, faulty
+from basalthook.lab.syscalls import Chances, faulty_socket_class
 from basalthook.protocol import catalogue
 from basalthook.transport import listener as listener_module
 from basalthook.transport.buffers import BufferPool
@@ -116,7 +116,7 @@
             self.assertEqual(len(accepted), 2)
 
     def test_opening_retries_until_a_socket_and_the_address_are_available(self):
-        with patch.object(socket, "socket", faulty(Chances(create=0.7))):
+        with patch.object(socket, "socket", faulty_socket_class(Chances(create=0.7))):
             listener_module.open_listening_socket(("127.0.0.1", 0)).close()
         with socket.create_server(("127.0.0.1", 0)) as other:
             pauses = []
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -54,18 +54,22 @@
         + fleet,
         "day.toml",
     )
-    run = decisions.Fleet(parsed, seed)
+    run = decisions.SimulatedFleet(parsed, seed)
     run.run()
-    marks = {f"{mark:x}": host for host, mark in enumerate(run.marks)}
+    marks = {f"{mark:x}": host for host, mark in enumerate(run.host_hashes)}
     out = Counter(
         (marks[fields["host"].split(".")[0]], n)
-        for _, n, event, fields in run.talking.said
+        for _, n, event, fields in run.members.log_events
         if event == "verdict" and fields["state"] == OUT
     )
     return (
         run,
         decisions.found(
-            parsed, run.wire, decisions.BORN, "decisions", talk=run.talking.figures(parsed, decisions.BORN)
+            parsed,
+            run.wire,
+            decisions.START_TIME,
+            "decisions",
+            talk=run.members.figures(parsed, decisions.START_TIME),
         ),
         out,
     )
@@ -83,7 +87,7 @@
         self.assertGreater(result.verdict.service, 0.98)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertLess(result.talk["agree_s"][0], 2.5)
-        self.assertFalse(any(s.state == OUT for mind in run.talking.minds for s in mind.states.values()))
+        self.assertFalse(any(s.state == OUT for mind in run.members.verdicts for s in mind.states.values()))
         back = Counter(e.host in (0, 1, 2) for e in run.wire if type(e).__name__ == "Got" and e.at > 115)
         self.assertGreater(back[True] / 3, 0.5 * back[False] / 17)
 
@@ -128,9 +132,11 @@
             run, result, out = play(fault("silent", at=4, lasts=8, hosts=[0]), cut, seconds=34)
             self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0})
-            self.assertEqual({len(talk.live()) for talk in run.talking.talks}, {20})
+            self.assertEqual({len(talk.live()) for talk in run.members.gossip}, {20})
             # verdicts that the other half revoked during the cut must not survive here
-            self.assertFalse(any(s.state == OUT for mind in run.talking.minds for s in mind.states.values()))
+            self.assertFalse(
+                any(s.state == OUT for mind in run.members.verdicts for s in mind.states.values())
+            )
 
     def test_verdicts_survive_killed_and_stopped_members(self):
         for what in ("kill_proxy", "stop_proxy"):
@@ -154,7 +160,7 @@
         kills = [fault("kill_proxy", at=1 + 0.7 * n, lasts=0.4, proxies=[3]) for n in range(20)]
         run, result, _ = play(*kills, seconds=24)
         self.assert_invariants(result)
-        self.assertEqual({len(talk.live()) for talk in run.talking.talks}, {20})
+        self.assertEqual({len(talk.live()) for talk in run.members.gossip}, {20})
 
     def test_the_same_seed_gives_the_same_run(self):
         digests = {play(fault("silent", hosts=[0]), seconds=7, proxies=6)[0].digest.hexdigest() for _ in "ab"}
