--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -1,9 +1,9 @@
-"""Depth `decisions`: any number of the real decisions in virtual time, before the machines of a scenario.
+"""Depth `decisions`: runs the real decision code of many proxies in virtual time against simulated hosts.
 
-One heap of events, one seed, no clock, no thread, no socket: the same run every time, on any machine. What
-one proxy can't see, the sums over all of them, the judge takes from what crossed. Connections are not
-modelled: a hop to a process that is down is refused after the way there and back, one to a machine that has
-vanished after the time that a connection may take.
+A run is an event heap driven by one seed, without clock, thread or socket, so that it is reproducible on any
+machine. The judge evaluates all proxies together, from the events recorded on the simulated network.
+Connections are not modelled: an attempt at a host that is down is refused after one network round trip, and
+one at a host that has vanished fails after the connect time-out.
 """
 
 from collections import Counter
@@ -28,14 +28,14 @@
 from .talking import SimulatedMembers
 from .wire import Answered, Asked, Called, Done, Excused, Got, Told
 
-TICKS_PER_SECOND = 10_000  # the decisions' time: so many a second
-START_TIME = 100.0  # seconds on the virtual clock when everything starts
-CONNECT_TIMEOUT_S = 0.25  # seconds that a connection may take
-GRACE_AFTER_DEADLINE_S = 1.0  # seconds past the last hard limit until the run is over
+TICKS_PER_SECOND = 10_000  # time unit of the decision code
+START_TIME = 100.0  # seconds on the virtual clock
+CONNECT_TIMEOUT_S = 0.25
+GRACE_AFTER_DEADLINE_S = 1.0  # the run ends this long after the last hard limit
 
 
 class SimulatedFleet:
-    """Machines, discovery, clients and proxies of one run; faults act on it as on the stand-ins."""
+    """Simulated hosts, discovery, clients and proxies of one run; takes the faults of a scenario."""
 
     def __init__(self, scenario: Scenario, seed: int, wire: list | None = None) -> None:
         self.scenario, self.seed, self.now, self.wire = (
@@ -44,7 +44,7 @@
             START_TIME,
             [] if wire is None else wire,
         )
-        self.heap, self.order, self.digest = [], count(), blake2b(digest_size=16)
+        self.heap, self.event_sequence, self.digest = [], count(), blake2b(digest_size=16)
         self.machines, self.zones = machines(scenario)
         size = len(self.machines)
         self.host_random = [Random(f"host {n} of {seed}") for n in range(size)]
@@ -54,19 +54,17 @@
         )
         self.up, self.states, self.started = [True] * size, ["up"] * size, [0.0] * size
         self.host_hashes = [terms.stable_number(f"host-{n}") for n in range(size)]
-        self.unreachable_attempts = Counter()  # (proxy, host) -> hops to it while it had vanished
-        self.attempt_counts: dict[
-            tuple, list
-        ] = {}  # (proxy, transaction) -> hops sent, out; emptied as they end
-        self.open_transactions: dict[
-            tuple, Asked
-        ] = {}  # (proxy, transaction) -> what was asked; emptied by its answer
-        self.attempts_in_flight: dict[
-            tuple, list
-        ] = {}  # (proxy, transaction, hop) -> [host, sent at]; emptied as it ends
-        self.retry_arguments: dict[tuple, tuple] = {}  # (proxy, transaction) -> what a retry asks again
-        profiles = {p.name: n for n, p in enumerate(scenario.load.profiles)}
-        self.profile_numbers, self.request_random = profiles, Random(f"draws of {seed}")
+        self.unreachable_attempts = Counter()  # (proxy, host) -> attempts while the host had vanished
+        # (proxy, transaction) -> [attempts sent, attempts in flight]; removed when it is finished
+        self.attempt_counts: dict[tuple, list] = {}
+        # (proxy, transaction) -> the request; removed when it is answered
+        self.open_transactions: dict[tuple, Asked] = {}
+        # (proxy, transaction, attempt) -> [host, sent at]; removed when the attempt ends
+        self.attempts_in_flight: dict[tuple, list] = {}
+        # (proxy, transaction) -> arguments with which a client retries the request
+        self.retry_arguments: dict[tuple, tuple] = {}
+        numbers = {p.name: n for n, p in enumerate(scenario.load.profiles)}
+        self.profile_numbers, self.request_random = numbers, Random(f"draws of {seed}")
         self.arrival_random, self.retry_random = Random(f"schedule of {seed}"), Random(f"manners of {seed}")
         self.key_weights = list(
             accumulate(rank**-scenario.load.zipf for rank in range(1, scenario.load.keys + 1))
@@ -76,47 +74,46 @@
             [f for f in scenario.faults if isinstance(f, LongWay)],
         )
         self.links, zones = Links(seed, scenario.proxies, size), sorted(set(self.zones))
-        self.proxy_zones = [zones[n % len(zones)] for n in range(scenario.proxies)]  # the proxies' zones
+        self.proxy_zones = [zones[n % len(zones)] for n in range(scenario.proxies)]
         self.proxies: list[Proxy | None] = [None] * scenario.proxies
-        self.policies: list = [None] * scenario.proxies  # the decisions, with whoever stands beside them
-        self.lives, self.stopped = [0] * scenario.proxies, {}  # stopped -> what waits; emptied as it goes on
-        self.clocks = [
-            (START_TIME, START_TIME, 1.0)
-        ] * scenario.proxies  # (then, what it showed then, its rate)
+        self.policies: list = [None] * scenario.proxies  # decision code with its layers around it
+        # number of processes started per proxy; stopped proxy -> its pending events until it is resumed
+        self.lives, self.stopped = [0] * scenario.proxies, {}
+        # (reference time, clock reading at that time, clock rate) per proxy
+        self.clocks = [(START_TIME, START_TIME, 1.0)] * scenario.proxies
         for fault in scenario.faults:
-            if isinstance(fault, ClockFault) and fault.at == 0:  # set before they started
+            if isinstance(fault, ClockFault) and fault.at == 0:  # applies before the proxies start
                 for n in fault.proxies:
                     self.clocks[n] = START_TIME, START_TIME + fault.ahead, fault.rate
         self.members = SimulatedMembers(self, scenario.proxies) if scenario.fleet else None
-        self.has_limits = bool(
-            scenario.fleet and scenario.fleet.limits
-        )  # then the ends of hops are noted as well
+        # with fleet limits the end of work on each attempt is recorded as well
+        self.has_limits = bool(scenario.fleet and scenario.fleet.limits)
         for n in range(scenario.proxies):
             self.start_process(n, True)
 
     def start_process(self, n: int, first: bool) -> None:
-        """A new process of this proxy, that knows the list as discovery has it."""
+        """Starts a new process of this proxy, with the host list that discovery holds."""
         self.lives[n] += 1
-        agreed = terms.policy_settings(settings(self.scenario, n, self.proxy_zones[n]))
-        again = "" if first else f", life {self.lives[n]}"
+        proxy_settings = terms.policy_settings(settings(self.scenario, n, self.proxy_zones[n]))
+        life_suffix = "" if first else f", life {self.lives[n]}"
         proxy = self.proxies[n] = Proxy(
-            agreed, terms.stable_number(f"proxy {n} of {self.seed}{again}"), self.clock_ticks(n)
+            proxy_settings, terms.stable_number(f"proxy {n} of {self.seed}{life_suffix}"), self.clock_ticks(n)
         )
         policy = FaultAggregator(proxy)
         if self.members is not None:
-            policy = self.members.start_member(n, proxy, agreed.zone, first)
-        self.policies[n] = PollingPolicy(DiscoverySchedule(agreed, proxy.rng), policy)
+            policy = self.members.start_member(n, proxy, proxy_settings.zone, first)
+        self.policies[n] = PollingPolicy(DiscoverySchedule(proxy_settings, proxy.rng), policy)
         self.apply_effects(n, self.policies[n].begin())
         listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
         self.deliver(n, interface.HostListReceived(tuple(map(self.host_entry, listed)), True, False))
 
-    def wall_clock(self, n: int) -> float:
-        """What this proxy's clock shows, in seconds."""
-        then, shown, rate = self.clocks[n]
-        return shown + (self.now - then) * rate
+    def clock_reading(self, n: int) -> float:
+        """Reading of this proxy's clock, in seconds."""
+        reference_time, reference_reading, rate = self.clocks[n]
+        return reference_reading + (self.now - reference_time) * rate
 
     def clock_ticks(self, n: int) -> int:
-        return int(self.wall_clock(n) * TICKS_PER_SECOND)
+        return int(self.clock_reading(n) * TICKS_PER_SECOND)
 
     def clock_rate(self, n: int) -> float:
         return self.clocks[n][2]
@@ -124,20 +121,24 @@
     def clock(self) -> float:
         return self.now
 
-    def call_later(self, delay: float, call, *given) -> None:
-        heappush(self.heap, (self.now + delay, next(self.order), call, given))
+    def call_later(self, delay: float, callback, *arguments) -> None:
+        heappush(self.heap, (self.now + delay, next(self.event_sequence), callback, arguments))
 
     def run(self) -> None:
         scenario = self.scenario
-        until = START_TIME + scenario.seconds
-        for at, act, given in moments(scenario.faults):
-            self.call_later(at, act, self, *given)
-        self.call_later(self.arrival_random.expovariate(scenario.rate(0.0)), self.next_arrival, until)
+        load_end_time = START_TIME + scenario.seconds
+        for at, act, arguments in moments(scenario.faults):
+            self.call_later(at, act, self, *arguments)
+        self.call_later(self.arrival_random.expovariate(scenario.rate(0.0)), self.next_arrival, load_end_time)
         longest = max(p.hard_limit for p in scenario.load.profiles)
-        over = until + (longest + GRACE_AFTER_DEADLINE_S) * (1 + scenario.load.retries)
-        while self.heap and self.heap[0][0] <= over and (self.heap[0][0] < until or self.open_transactions):
-            self.now, _, call, given = heappop(self.heap)
-            call(*given)
+        end_time = load_end_time + (longest + GRACE_AFTER_DEADLINE_S) * (1 + scenario.load.retries)
+        while (
+            self.heap
+            and self.heap[0][0] <= end_time
+            and (self.heap[0][0] < load_end_time or self.open_transactions)
+        ):
+            self.now, _, callback, arguments = heappop(self.heap)
+            callback(*arguments)
 
     def record(self, entry) -> None:
         self.wire.append(entry)
@@ -145,7 +146,7 @@
 
     # ---- clients
 
-    def next_arrival(self, until: float) -> None:
+    def next_arrival(self, load_end_time: float) -> None:
         load = self.scenario.load
         (profile,) = self.request_random.choices(load.profiles, [p.share for p in load.profiles])
         key = f"key-{self.request_random.choices(range(load.keys), cum_weights=self.key_weights)[0]}"
@@ -155,11 +156,11 @@
         )
         if (
             due := self.now + self.arrival_random.expovariate(self.scenario.rate(self.now - START_TIME))
-        ) < until:
-            self.call_later(due - self.now, self.next_arrival, until)
+        ) < load_end_time:
+            self.call_later(due - self.now, self.next_arrival, load_end_time)
 
     def next_running_proxy(self, proxy: int) -> int:
-        """This one; or, as its client has gone with it or stands still, the next one that runs."""
+        """Returns this proxy, or the next running one if it is killed or stopped together with its client."""
         count = len(self.proxies)
         return next(
             (
@@ -171,15 +172,17 @@
         )
 
     def send_request(
-        self, proxy: int, profile, key: str, work: float, due: float, first: str | None, tries: int
+        self, proxy: int, profile, key: str, work: float, due: float, first_name: str | None, retry_count: int
     ):
         tx = next(self.transaction_numbers)
-        name, limit = f"tx-{tx}", self.now + profile.hard_limit
-        asked = Asked(self.now, name, profile.effect == "once", limit, profile.name, due, first or name)
+        name, deadline_time = f"tx-{tx}", self.now + profile.hard_limit
+        asked = Asked(
+            self.now, name, profile.effect == "once", deadline_time, profile.name, due, first_name or name
+        )
         self.record(asked)
         self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx] = (
             asked,
-            (profile, key, work, due, first or name, tries),
+            (profile, key, work, due, first_name or name, retry_count),
         )
         self.deliver(
             proxy,
@@ -191,8 +194,8 @@
             ),
         )
 
-    def answer_received(self, proxy: int, tx: int, status: int, come_back: float = 0.0) -> None:
-        asked, again = (
+    def answer_received(self, proxy: int, tx: int, status: int, retry_after: float = 0.0) -> None:
+        asked, arguments = (
             self.open_transactions.pop((proxy, tx), None),
             self.retry_arguments.pop((proxy, tx), None),
         )
@@ -201,16 +204,16 @@
         self.record(Answered(self.now, asked.tx, status, status == 200))
         self.forget_if_finished(proxy, tx)
         load = self.scenario.load
-        if status == 503 and again[-1] < load.retries:
-            wait = come_back if self.retry_random.random() < load.obey else 0.0
-            another = self.next_running_proxy(self.request_random.randrange(len(self.proxies)))
-            self.call_later(wait, self.send_request, another, *again[:-1], again[-1] + 1)
+        if status == 503 and arguments[-1] < load.retries:
+            wait = retry_after if self.retry_random.random() < load.obey else 0.0
+            next_proxy = self.next_running_proxy(self.request_random.randrange(len(self.proxies)))
+            self.call_later(wait, self.send_request, next_proxy, *arguments[:-1], arguments[-1] + 1)
 
     def forget_if_finished(self, proxy: int, tx: int) -> None:
         if (proxy, tx) not in self.open_transactions and not self.attempt_counts.get((proxy, tx), (0, 1))[1]:
             del self.attempt_counts[proxy, tx]
 
-    # ---- a proxy's effects
+    # ---- effects of the decision code
 
     def deliver(self, proxy: int, event, life: int | None = None) -> None:
         if self.proxies[proxy] is None or life is not None and life != self.lives[proxy]:
@@ -259,51 +262,62 @@
                 )
 
     def cancel_attempt(self, proxy: int, effect) -> None:
-        """The machine goes on with it; its answer finds nobody."""
+        """The host still finishes the work; its answer is ignored."""
         self.end_attempt(proxy, effect.tx, effect.attempt, interface.CANCELLED)
 
     def send_attempt(self, proxy: int, effect) -> None:
         tx, host = effect.tx, effect.host
-        sent = self.attempt_counts.setdefault((proxy, tx), [0, 0])  # so far, and still out
-        hop = sent[0]
-        sent[0], sent[1] = hop + 1, sent[1] + 1
-        self.attempts_in_flight[proxy, tx, hop] = [host, self.now]
-        asked, given = self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx]
-        here, there = self.proxy_zones[proxy], self.zones[host]
-        way, lost = self.network_delay(here, there), self.is_lost(here, there)
-        more = self.links.message_delay(f"p{proxy}", f"h{host}")
-        if not lost and more is not None:
-            way += more
+        counts = self.attempt_counts.setdefault((proxy, tx), [0, 0])  # sent, in flight
+        attempt = counts[0]
+        counts[0], counts[1] = attempt + 1, counts[1] + 1
+        self.attempts_in_flight[proxy, tx, attempt] = [host, self.now]
+        asked, arguments = self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx]
+        source_zone, target_zone = self.proxy_zones[proxy], self.zones[host]
+        delay, lost = self.network_delay(source_zone, target_zone), self.is_lost(source_zone, target_zone)
+        extra_delay = self.links.message_delay(f"p{proxy}", f"h{host}")
+        if not lost and extra_delay is not None:
+            delay += extra_delay
             self.call_later(
-                way, self.attempt_arrived, proxy, tx, hop, host, asked.tx, given[1], given[2], way, self.now
+                delay,
+                self.attempt_arrived,
+                proxy,
+                tx,
+                attempt,
+                host,
+                asked.tx,
+                arguments[1],
+                arguments[2],
+                delay,
+                self.now,
             )
         self.call_later(
             effect.time_limit / TICKS_PER_SECOND / self.clock_rate(proxy),
             self.end_attempt,
             proxy,
             tx,
-            hop,
+            attempt,
             interface.TIMED_OUT,
         )
 
-    def network_delay(self, here: str, there: str) -> float:
+    def network_delay(self, source_zone: str, target_zone: str) -> float:
         network, since = self.scenario.network, self.now - START_TIME
-        way = (network.same if here == there else network.cross) * (
+        delay = (network.same if source_zone == target_zone else network.cross) * (
             1 + network.jitter * self.network_random.random()
         )
-        return way + sum(f.more for f in self.long_way_faults if f.holds(since, here, there))
+        return delay + sum(f.more for f in self.long_way_faults if f.holds(since, source_zone, target_zone))
 
-    def is_lost(self, here: str, there: str) -> bool:
+    def is_lost(self, source_zone: str, target_zone: str) -> bool:
         return any(
-            f.holds(self.now - START_TIME, here, there) and self.network_random.random() < f.loses
+            f.holds(self.now - START_TIME, source_zone, target_zone)
+            and self.network_random.random() < f.loses
             for f in self.long_way_faults
         )
 
-    def end_attempt(self, proxy: int, tx: int, hop: int, outcome: str) -> None:
-        """Whatever tells first ends the hop; a second word on it comes too late."""
-        if (known := self.attempts_in_flight.pop((proxy, tx, hop), None)) is None:
+    def end_attempt(self, proxy: int, tx: int, attempt: int, outcome: str) -> None:
+        """Ends an attempt with the first outcome reported; later outcomes of the same attempt are ignored."""
+        if (entry := self.attempts_in_flight.pop((proxy, tx, attempt), None)) is None:
             return
-        host, sent_at = known
+        host, sent_at = entry
         done = outcome == interface.COMMITTED
         closed = done and (proxy, tx) in self.open_transactions
         if closed:
@@ -311,7 +325,7 @@
         self.attempt_counts[proxy, tx][1] -= 1
         self.forget_if_finished(proxy, tx)
         elapsed = max(1, int((self.now - sent_at) * self.clock_rate(proxy) * TICKS_PER_SECOND))
-        self.deliver(proxy, interface.AttemptEnded(tx, hop, host, outcome, elapsed, closed))
+        self.deliver(proxy, interface.AttemptEnded(tx, attempt, host, outcome, elapsed, closed))
 
     EFFECT_HANDLERS = {
         interface.SetTimer: set_timer,
@@ -324,57 +338,65 @@
         interface.ReportHostFault: lambda self, proxy, effect: None,
     }
 
-    # ---- machines
+    # ---- hosts
 
     def attempt_arrived(
         self,
         proxy: int,
         tx: int,
-        hop: int,
+        attempt: int,
         host: int,
         name: str,
         key: str,
         work: float,
-        way: float,
-        left: float,
+        delay: float,
+        sent_at: float,
     ) -> None:
         machine, now = self.machines[host], self.now
         if machine.gone:
             self.unreachable_attempts[proxy, host] += 1
-            return self.call_later(CONNECT_TIMEOUT_S, self.end_attempt, proxy, tx, hop, interface.UNREACHABLE)
+            return self.call_later(
+                CONNECT_TIMEOUT_S, self.end_attempt, proxy, tx, attempt, interface.UNREACHABLE
+            )
         if not self.up[host]:
-            return self.call_later(way, self.end_attempt, proxy, tx, hop, interface.UNREACHABLE)
+            return self.call_later(delay, self.end_attempt, proxy, tx, attempt, interface.UNREACHABLE)
         cost = machine.cost(now, key, work)
         cold, capacity = machine.started if machine.warmth(now) < 1.0 else None, machine.capacity(now)
         full = machine.held >= machine.slots
         fails = not full and any(self.host_random[host].random() < share for share in machine.erring)
-        self.record(Got(now, host, name, cost, capacity, cold, not full, proxy, left))
+        self.record(Got(now, host, name, cost, capacity, cold, not full, proxy, sent_at))
         if fails and self.has_limits:
             self.record(Done(now, host, name))
         if full or fails:
             return self.call_later(
-                way, self.end_attempt, proxy, tx, hop, interface.REFUSED if full else interface.ERROR
+                delay, self.end_attempt, proxy, tx, attempt, interface.REFUSED if full else interface.ERROR
             )
-        ends = machine.take(now, cost)
-        self.call_later(ends - now, self.finish_work, proxy, tx, hop, host, machine.life, way)
+        finish_time = machine.take(now, cost)
+        self.call_later(finish_time - now, self.finish_work, proxy, tx, attempt, host, machine.life, delay)
 
-    def finish_work(self, proxy: int, tx: int, hop: int, host: int, life: int, way: float) -> None:
+    def finish_work(self, proxy: int, tx: int, attempt: int, host: int, life: int, delay: float) -> None:
         machine = self.machines[host]
         machine.done(life)
         if self.has_limits and life == machine.life:
             self.record(Done(self.now, host, f"tx-{tx}"))
-        here, there = self.proxy_zones[proxy], self.zones[host]
+        source_zone, target_zone = self.proxy_zones[proxy], self.zones[host]
         lost = any(self.host_random[host].random() < share for share in machine.losing) or self.is_lost(
-            here, there
+            source_zone, target_zone
         )
-        more = self.links.message_delay(f"h{host}", f"p{proxy}")
-        if life == machine.life and not machine.silent and not machine.gone and not lost and more is not None:
-            self.call_later(way + more, self.end_attempt, proxy, tx, hop, interface.COMMITTED)
+        extra_delay = self.links.message_delay(f"h{host}", f"p{proxy}")
+        if (
+            life == machine.life
+            and not machine.silent
+            and not machine.gone
+            and not lost
+            and extra_delay is not None
+        ):
+            self.call_later(delay + extra_delay, self.end_attempt, proxy, tx, attempt, interface.COMMITTED)
 
-    # ---- what faults do to proxies
+    # ---- faults of proxies
 
     def kill_proxy(self, n: int) -> None:
-        """What it had open is gone with it; machines go on with its hops."""
+        """Drops all state of the proxy; hosts still finish the attempts that it has sent."""
         self.excuse_open_transactions(n)
         for table in (
             self.open_transactions,
@@ -382,15 +404,15 @@
             self.attempt_counts,
             self.attempts_in_flight,
         ):
-            for known in [known for known in table if known[0] == n]:
-                del table[known]
+            for entry in [entry for entry in table if entry[0] == n]:
+                del table[entry]
         self.proxies[n] = self.policies[n] = None
         self.stopped.pop(n, None)
         if self.members is not None:
             self.members.stop_member(n)
 
     def start_proxy(self, n: int, forgets: bool) -> None:
-        """Nothing is kept between two lives yet, so it always forgets."""
+        """Starts a new process. No state survives a process at this depth, so `forgets` has no effect."""
         self.start_process(n, False)
 
     def stop_proxy(self, n: int) -> None:
@@ -398,11 +420,11 @@
         self.stopped[n] = []
 
     def resume_proxy(self, n: int) -> None:
-        """First what lay in its sockets, then its timers: a process reads before it looks at the clock."""
-        waited = self.stopped.pop(n, [])
-        if self.members is not None and self.members.gossip[n] is not None:
+        """Delivers queued datagrams before queued events: a process reads its sockets, then runs timers."""
+        queued_events = self.stopped.pop(n, [])
+        if self.members is not None and self.members.gossip_instances[n] is not None:
             self.members.deliver_waiting(n)
-        for event in waited:
+        for event in queued_events:
             self.deliver(n, event)
 
     def excuse_open_transactions(self, n: int) -> None:
@@ -411,19 +433,21 @@
         ]
 
     def set_clock(self, n: int, ahead: float, rate: float) -> None:
-        """What a running process reads never jumps, it counts on a monotonic clock; its rate may change."""
-        self.clocks[n] = self.now, self.wall_clock(n), rate
+        """Changes the clock rate only: a running process uses a monotonic clock, which never jumps."""
+        self.clocks[n] = self.now, self.clock_reading(n), rate
 
-    # ---- what faults do to hosts, and discovery
+    # ---- faults of hosts, and discovery
 
     def kill(self, host: int) -> None:
         self.up[host] = False
         self.machines[host].start(self.now)
         if self.has_limits:
             self.record(Done(self.now, host, ""))
-        for (proxy, tx, hop), (where, _) in list(self.attempts_in_flight.items()):
-            if where == host:
-                self.call_later(self.network_delay("", ""), self.end_attempt, proxy, tx, hop, interface.RESET)
+        for (proxy, tx, attempt), (target, _) in list(self.attempts_in_flight.items()):
+            if target == host:
+                self.call_later(
+                    self.network_delay("", ""), self.end_attempt, proxy, tx, attempt, interface.RESET
+                )
         self.list_as(host, "removed")
 
     def come_back(self, host: int) -> None:
@@ -445,7 +469,7 @@
             )
 
     def send_host_list(self, proxy: int, host: int | None) -> None:
-        """A change of one host, or all of them; what is told is what holds by now."""
+        """Sends the present state of one host, or of all hosts if `host` is None."""
         hosts = range(len(self.machines)) if host is None else [host]
         if self.proxies[proxy] is None or self.links.message_delay("d", f"p{proxy}") is None:
             return
@@ -455,7 +479,7 @@
 
     def host_entry(self, n: int) -> interface.HostEntry:
         machine, state = self.machines[n], self.states[n]
-        line = HostRecord(
+        host_record = HostRecord(
             f"host-{n}",
             ("127.0.0.1", 1),
             self.zones[n],
@@ -470,25 +494,27 @@
         return terms.host_entry(
             n,
             self.host_hashes[n],
-            line.zone,
-            line.cell,
-            line.ready,
-            line.weight,
-            line.started_ns,
-            line.kind,
-            line.draining,
+            host_record.zone,
+            host_record.cell,
+            host_record.ready,
+            host_record.weight,
+            host_record.started_ns,
+            host_record.kind,
+            host_record.draining,
         )
 
 
 def play(scenario: Scenario) -> Result:
-    """One run of the scenario by its own seed."""
+    """Runs the scenario with its own seed; raises BadScenario for faults that need sockets."""
     if any(isinstance(fault, Maintain | ON_PROCESSES) for fault in scenario.faults):
         raise BadScenario(
-            f"{scenario.name}: maintain and faults of discovery are played on sockets, see --depth"
+            f"{scenario.name}: maintain and faults of discovery need sockets or processes, see --depth"
         )
     fleet = SimulatedFleet(scenario, scenario.seed)
     fleet.run()
-    talk = fleet.members.figures(scenario, START_TIME) if fleet.members else None
+    gossip_figures = fleet.members.figures(scenario, START_TIME) if fleet.members else None
     if fleet.has_limits:
-        talk["limits"] = overrun.figures(fleet.wire, scenario)
-    return found(scenario, fleet.wire, START_TIME, "decisions", digest=fleet.digest.hexdigest(), talk=talk)
+        gossip_figures["limits"] = overrun.figures(fleet.wire, scenario)
+    return found(
+        scenario, fleet.wire, START_TIME, "decisions", digest=fleet.digest.hexdigest(), talk=gossip_figures
+    )
--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -1,9 +1,10 @@
-"""Every run of the keeper's seat that a small world allows: states in a queue, and none with two holders.
+"""Exhaustive exploration of small leader elections, by breadth-first search for a state with two leaders.
 
-Three voters, of whom two may claim; messages lost, doubled, reordered; one restart that forgets; clocks at
-both ends of what they may differ by. The next state is made by `fleet.election` itself, loaded with a state
-and read again. Times are chosen so that the bound is tight: TERM of the fastest clock is what remains to the
-slowest holder. `python -m basalthook.lab.explore` prints the number of states.
+There are three voters, of which two may be candidates. Messages may be lost, duplicated and reordered, one
+voter may restart and lose its state, and clock rates are at both ends of the permitted drift. Successor
+states are computed by `fleet.election` itself, which is loaded with a state and read back. Times are chosen
+so that the bound is tight: TERM on the fastest clock is the time that remains to a leader on the slowest.
+`python -m basalthook.lab.explore` prints the number of states.
 """
 
 import sys
@@ -13,106 +14,116 @@
 from ..fleet.election import LeaderElection
 
 NAMES = "a", "b", "c"
-STEPS = 4, 6, 5  # ticks a step of each one's clock: a is slow, b is fast
-LOSS, TERM = 0.2, 12
+TICKS_PER_STEP = 4, 6, 5  # per member: the clock of a is slow, that of b is fast
+CLOCK_DRIFT, TERM = 0.2, 12
 
 
 class World(NamedTuple):
-    seats: tuple  # of each: life, silent until, vote, round, valid, claims
-    air: frozenset  # (to, message): all that was ever sent
+    member_states: tuple  # per member: life, silent until, vote, round, valid until, ballots
+    sent_messages: frozenset  # (recipient, message): all that were ever sent
     step: int
     restarts: int
 
 
 class Explorer:
-    def __init__(self, steps: int = 6, max_ballots: int = 2, restarts: int = 1, make=LeaderElection) -> None:
-        """Bounds of the world; `make`: what is explored, a test hands in one with a fault planted."""
+    def __init__(
+        self, steps: int = 6, max_ballots: int = 2, restarts: int = 1, election_class=LeaderElection
+    ) -> None:
+        """Takes the bounds of the search; tests pass an `election_class` with a planted fault."""
         self.steps, self.max_ballots, self.restarts = steps, max_ballots, restarts
-        self.sent: list[tuple] = []
-        self.make = make
+        self.outbox: list[tuple] = []
+        self.election_class = election_class
         self.members = [
-            make(name, 0, NAMES, TERM, LOSS, self, self.sender, lambda: NAMES, 0) for name in NAMES
+            election_class(name, 0, NAMES, TERM, CLOCK_DRIFT, self, self.record_message, lambda: NAMES, 0)
+            for name in NAMES
         ]
 
     @staticmethod
     def randrange(most: int) -> int:
         return 0
 
-    def sender(self, name: str, message: list) -> None:
-        self.sent.append((NAMES.index(name), tuple(message)))
+    def record_message(self, name: str, message: list) -> None:
+        self.outbox.append((NAMES.index(name), tuple(message)))
 
-    def load(self, world: World, n: int) -> LeaderElection:
+    def load_member(self, world: World, n: int) -> LeaderElection:
         member = self.members[n]
         (member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots) = (
-            world.seats[n]
+            world.member_states[n]
         )
         member.ballots = {number: (at, set(votes)) for number, at, votes in frozen_ballots}
-        self.sent.clear()
+        self.outbox.clear()
         return member
 
     @staticmethod
-    def freeze(member: LeaderElection) -> tuple:
+    def freeze_member(member: LeaderElection) -> tuple:
         frozen_ballots = tuple(
             (number, at, tuple(sorted(votes))) for number, (at, votes) in member.ballots.items()
         )
         return member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots
 
-    def after(self, world: World, n: int, member: LeaderElection) -> World:
-        """What is sent stays in the air: it may arrive at any time, never, or any number of times."""
-        frozen = world.seats[:n] + (self.freeze(member),) + world.seats[n + 1 :]
-        return world._replace(seats=frozen, air=world.air | frozenset(self.sent))
+    def world_after(self, world: World, n: int, member: LeaderElection) -> World:
+        """The state after a member's step; sent messages may arrive at any time, repeatedly or never."""
+        new_states = world.member_states[:n] + (self.freeze_member(member),) + world.member_states[n + 1 :]
+        return world._replace(
+            member_states=new_states, sent_messages=world.sent_messages | frozenset(self.outbox)
+        )
 
     def clock(self, world: World, n: int) -> int:
-        return world.step * STEPS[n]
+        return world.step * TICKS_PER_STEP[n]
 
-    def following(self, world: World):
+    def successors(self, world: World):
         if world.step < self.steps:
             yield world._replace(step=world.step + 1)
-        for n, message in world.air:
-            member = self.load(world, n)
+        for n, message in world.sent_messages:
+            member = self.load_member(world, n)
             member.received(self.clock(world, n), list(message))
-            yield self.after(world, n, member)
+            yield self.world_after(world, n, member)
         for n in (0, 1):
             now = self.clock(world, n)
-            member = self.load(world, n)
+            member = self.load_member(world, n)
             if member.round < self.max_ballots and now >= member.silent_until:
                 member.request_votes(now)
-                yield self.after(world, n, member)
-            member = self.load(world, n)
+                yield self.world_after(world, n, member)
+            member = self.load_member(world, n)
             if member.ballots:
                 member.release_votes(now)
-                yield self.after(world, n, member)
+                yield self.world_after(world, n, member)
         if world.restarts < self.restarts:
             for n in range(3):
-                life = world.seats[n][0] + 1
-                again = self.make(NAMES[n], life, NAMES, TERM, LOSS, None, None, None, self.clock(world, n))
-                self.sent.clear()
-                yield self.after(world, n, again)._replace(restarts=world.restarts + 1)
+                life = world.member_states[n][0] + 1
+                restarted = self.election_class(
+                    NAMES[n], life, NAMES, TERM, CLOCK_DRIFT, None, None, None, self.clock(world, n)
+                )
+                self.outbox.clear()
+                yield self.world_after(world, n, restarted)._replace(restarts=world.restarts + 1)
+
+    def leaders(self, world: World) -> list[str]:
+        return [name for n, name in enumerate(NAMES) if self.clock(world, n) < world.member_states[n][4]]
 
-    def holders(self, world: World) -> list[str]:
-        return [name for n, name in enumerate(NAMES) if self.clock(world, n) < world.seats[n][4]]
+    def run(self, max_states: int = 10**7) -> tuple[int, World | None]:
+        """Returns the number of states and one with two leaders, or None.
 
-    def run(self, most: int = 10**7) -> tuple[int, World | None]:
-        """(states seen, a bad one or None); more than `most` states are an error."""
+        Raises MemoryError at more than `max_states` states.
+        """
         first = World(tuple((0, 0, None, 0, 0, ()) for _ in NAMES), frozenset(), 0, 0)
         seen, queue = {first}, deque([first])
         while queue:
             world = queue.popleft()
-            if len(self.holders(world)) > 1:
+            if len(self.leaders(world)) > 1:
                 return len(seen), world
-            for following in self.following(world):
-                if following not in seen:
-                    seen.add(following)
-                    queue.append(following)
-            if len(seen) > most:
-                raise MemoryError(f"more than {most} states")
+            for successor in self.successors(world):
+                if successor not in seen:
+                    seen.add(successor)
+                    queue.append(successor)
+            if len(seen) > max_states:
+                raise MemoryError(f"the search exceeds {max_states} states")
         return len(seen), None
 
 
 def main() -> None:
-    states, bad = Explorer().run()
-    print(f"{states} states, {'none with two holders' if bad is None else bad}")
-    sys.exit(bad is not None)
+    states, violating_world = Explorer().run()
+    print(f"{states} states, {'none with two leaders' if violating_world is None else violating_world}")
+    sys.exit(violating_world is not None)
 
 
 if __name__ == "__main__":
--- a/basalthook/lab/links.py
+++ b/basalthook/lab/links.py
@@ -1,7 +1,8 @@
-"""The ways between proxies, hosts and discovery, and what faults do to them; the same at every depth.
+"""Links between proxies, hosts and discovery, and the effect of faults on them; used at every depth.
 
-Ends are named `p0`, `h0`, `d`; `p0-3` is a range. `between` joins every end of its first list with every end
-of its second, both ways, or from the first to the second where it is `one_way`.
+Endpoints are named `p0` (proxy), `h0` (host) and `d` (discovery); `p0-3` is a range. `between` joins every
+endpoint of its first list with every endpoint of its second, in both directions, or only from the first to
+the second if the fault is `one_way`.
 """
 
 import re
@@ -12,25 +13,25 @@
 
 
 class InvalidEndpointName(ValueError):
-    pass
+    """A name in `between` that is malformed or out of range."""
 
 
 def endpoint_names(name: str, proxies: int, hosts: int) -> list[str]:
-    """All that a name stands for; BadName with what is wrong."""
-    found = ENDPOINT_NAME.fullmatch(name)
-    if found is None:
+    """Expands a name or range to endpoint names; raises InvalidEndpointName."""
+    match = ENDPOINT_NAME.fullmatch(name)
+    if match is None:
         raise InvalidEndpointName(f"Expected `p0`, `h0`, `d` or a range like `p0-3`, got {name!r}")
     if name == "d":
         return ["d"]
-    letter, first, last = found.group(1), int(found.group(2)), int(found.group(3) or found.group(2))
-    most = proxies if letter == "p" else hosts
-    if not first <= last < most:
-        raise InvalidEndpointName(f"Expected a range within {letter}0 and {letter}{most - 1}, got {name!r}")
+    letter, first, last = match.group(1), int(match.group(2)), int(match.group(3) or match.group(2))
+    count = proxies if letter == "p" else hosts
+    if not first <= last < count:
+        raise InvalidEndpointName(f"Expected a range within {letter}0 and {letter}{count - 1}, got {name!r}")
     return [f"{letter}{n}" for n in range(first, last + 1)]
 
 
 class DatagramOutcome(NamedTuple):
-    """What becomes of one datagram: seconds until each copy arrives, and whether it is spoilt."""
+    """Delay in seconds of each delivered copy of a datagram, and whether the copies are corrupted."""
 
     copies: tuple[float, ...]
     corrupted: bool
@@ -53,52 +54,54 @@
 
 
 class Links:
-    """Faults are added as they begin and taken away as they end; each knows which ways it is on."""
+    """The active faults of links and their random effect on datagrams and messages."""
 
     def __init__(self, seed: int, proxies: int, hosts: int) -> None:
-        self.chance, self.faults = Random(f"links of {seed}"), []
+        self.random, self.faults = Random(f"links of {seed}"), []
         self.proxies, self.hosts = proxies, hosts
 
     def add_fault(self, fault) -> None:
         sides = (
-            frozenset(end for name in side for end in endpoint_names(name, self.proxies, self.hosts))
+            frozenset(
+                endpoint for name in side for endpoint in endpoint_names(name, self.proxies, self.hosts)
+            )
             for side in fault.between
         )
         self.faults.append(ActiveFault(fault, *sides))
 
     def remove_fault(self, fault) -> None:
-        self.faults = [joined for joined in self.faults if joined.fault is not fault]
+        self.faults = [active for active in self.faults if active.fault is not fault]
 
     def active_between(self, source: str, target: str) -> list:
-        return [joined.fault for joined in self.faults if joined.applies_to(source, target)]
+        return [active.fault for active in self.faults if active.applies_to(source, target)]
 
     def datagram_outcome(self, source: str, target: str) -> DatagramOutcome:
         if not self.faults:
             return DELIVERED
-        copies, corrupted, chance = [0.0], False, self.chance
+        copies, corrupted, random = [0.0], False, self.random
         for fault in self.active_between(source, target):
-            if fault.cuts or chance.random() < fault.loses:
+            if fault.cuts or random.random() < fault.loses:
                 return DatagramOutcome((), False)
-            if chance.random() < fault.doubles:
-                copies.append(copies[0] + 0.01 * chance.random())
-            late = fault.delay
-            if chance.random() < fault.reorders:  # it comes behind others sent after it
-                late += (0.1 + 2 * fault.delay) * chance.random()
-            copies = [at + late for at in copies]
-            corrupted |= chance.random() < fault.spoils
+            if random.random() < fault.doubles:
+                copies.append(copies[0] + 0.01 * random.random())
+            extra_delay = fault.delay
+            if random.random() < fault.reorders:  # delivered after datagrams that were sent later
+                extra_delay += (0.1 + 2 * fault.delay) * random.random()
+            copies = [at + extra_delay for at in copies]
+            corrupted |= random.random() < fault.spoils
         return DatagramOutcome(tuple(copies), corrupted)
 
     def message_delay(self, source: str, target: str) -> float | None:
-        """Seconds that a message on a connection takes longer; None: it never comes."""
-        more = 0.0
+        """Extra delay in seconds of a message on a connection, or None if it is lost."""
+        total_delay = 0.0
         for fault in self.active_between(source, target) if self.faults else ():
-            if fault.cuts or self.chance.random() < fault.loses:
+            if fault.cuts or self.random.random() < fault.loses:
                 return None
-            more += fault.delay
-        return more
+            total_delay += fault.delay
+        return total_delay
 
 
-def flip_random_bit(data: bytes, chance: Random) -> bytes:
-    """The same with one bit turned over."""
-    place = chance.randrange(len(data))
-    return data[:place] + bytes([data[place] ^ 1 << chance.randrange(8)]) + data[place + 1 :]
+def flip_random_bit(data: bytes, random: Random) -> bytes:
+    """Returns a copy of the data with one random bit flipped."""
+    index = random.randrange(len(data))
+    return data[:index] + bytes([data[index] ^ 1 << random.randrange(8)]) + data[index + 1 :]
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -1,4 +1,4 @@
-"""How far over a fleet's limit the hosts were taken, in any window: from what crossed the wire alone."""
+"""How far the fleet exceeded its limits in any window, measured from the recorded events alone."""
 
 from collections import Counter, defaultdict
 
@@ -7,13 +7,16 @@
 from .scenario import Scenario, bound
 from .wire import Answered, Asked, Done, Got
 
-EXACT = 0.001  # to which the part over is told
+PRECISION = 0.001  # of the excess
 
 
 def figures(wire: list, told: Scenario) -> dict[str, dict]:
-    """For each limit: the largest part over in any window, what the formula allows, and the part of it that
-    was served in the seconds in which anybody was refused (None: nobody was)."""
-    names, found = [p.name for p in told.load.profiles], {}
+    """Returns for each limit the largest excess in any window, the permitted excess, and the used share.
+
+    Excess is a fraction of the limit. The used share is that of the limit's capacity in the seconds in which
+    a request was refused, or None if none was.
+    """
+    names, results = [p.name for p in told.load.profiles], {}
     refused = {int(e.at) for e in wire if isinstance(e, Answered) and e.status in ROLLED_BACK}
     for limit in told.fleet.limits:
         rule = bound(limit, names)
@@ -27,12 +30,12 @@
                 else retry_times(wire)
             )
             over, used = excess(times, rule.amount, rule.burst), used_share(times, rule.amount, refused)
-        found[limit.name] = {"over_most": round(over, 3), "over_bound": rule.max_excess(), "used": used}
-    return found
+        results[limit.name] = {"over_most": round(over, 3), "over_bound": rule.max_excess(), "used": used}
+    return results
 
 
 def most_held(wire: list, amount: float, refused: set[int]) -> tuple[int, float | None]:
-    """The most that any host held at once, and the mean part of all places that was held in such seconds."""
+    """The most attempts any host held at once, and the mean share of places held in the `refused` seconds."""
     now, most, sums, hosts = Counter(), 0, defaultdict(list), set()
     for e in wire:
         if isinstance(e, Got) and e.ran:
@@ -60,18 +63,18 @@
 
 
 def retry_times(wire: list) -> list[float]:
-    """Each hop beyond a transaction's first."""
-    met, found = set(), []
+    """Times of all attempts after the first of their transaction."""
+    met, results = set(), []
     for e in wire:
         if isinstance(e, Got):
             if e.tx in met:
-                found.append(e.at)
+                results.append(e.at)
             met.add(e.tx)
-    return found
+    return results
 
 
 def excess(times: list[float], amount: float, burst: float) -> float:
-    """The least part by which amount and burst would have to be larger for no window to hold too many."""
+    """The smallest fraction by which amount and burst must grow so that no window holds too many."""
 
     def fits(part: float) -> bool:
         level, last, most = 0.0, times[0], (burst + amount * SLACK) * (1 + part)
@@ -89,14 +92,14 @@
     low, high = 0.0, 1.0
     while not fits(high):
         low, high = high, 2 * high
-    while high - low > EXACT:
+    while high - low > PRECISION:
         middle = (low + high) / 2
         low, high = (low, middle) if fits(middle) else (middle, high)
     return high
 
 
 def used_share(times: list[float], amount: float, refused: set[int]) -> float | None:
-    """Of whole seconds in which somebody was refused."""
+    """Mean share of the rate used in whole seconds in which a request was refused."""
     counts = Counter(int(at) for at in times)
     if not refused or not amount:
         return None
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -1,8 +1,7 @@
-"""Depth `processes`: the program as operators start it, one process a proxy, with faults on every way
-between.
+"""Depth `processes`: runs the program as operators start it, a process per proxy, with faults on all links.
 
-The rig is one process: hosts, discovery, load and the relays of all ways, on one clock. Each proxy is a
-process of its own with its own files, console and log, started by `serve`, killed and stopped by signals.
+The rig is one process with hosts, discovery, load and the relays between members, all on one clock. Each
+proxy is a process started by `serve` with its own files, console and log, killed and stopped by signals.
 """
 
 import asyncio
@@ -36,33 +35,36 @@
 LIBC = ctypes.CDLL(None) if sys.platform == "linux" else None
 PR_SET_PDEATHSIG = 1  # prctl(2)
 KEY = b"the lab's own key, known to all of its members"
-START, EACH = 2.0, 0.12  # seconds until the scenario begins, and more for each proxy
-GO = 5.0  # seconds in which they end after SIGTERM
-NEW_ON, KILL_AFTER = 0.3, 0.7  # seconds after SIGTERM: of new connections; beyond the longest deadline
-SOCKETS = 256
-SEEDS = 3
-CLOCKS_APART = 0.03  # part by which a fact's age may be read off too low: clocks 2 in 100 fast
-HEALED = 5.0  # seconds after a fault in which who was hit by it may still be suspected
-LOOK = 0.1  # seconds from a proxy's word to the rig's reading its line in the log
+# time for all proxies to start before the scenario begins
+START_DELAY_S, START_DELAY_PER_PROXY_S = 2.0, 0.12
+EXIT_TIMEOUT_S = 5.0  # from SIGTERM at the end of a run to SIGKILL
+# after SIGTERM of the terminate fault: clients still open new connections this long, and SIGKILL follows this
+# long after the longest hard limit
+NEW_CONNECTIONS_S, KILL_DELAY_S = 0.3, 0.7
+SOCKET_LIMIT = 256
+SEED_COUNT = 3
+CLOCK_DRIFT = 0.03  # tolerance on the age of a fact, as a fraction: clock rates differ by up to 2 %
+RECOVERY_S = 5.0  # a suspicion of an affected proxy is not false until this long after the fault
+LOG_READ_DELAY_S = 0.1  # tolerance from the writing of a log line to its reading by the rig
 
 
 class Rig(Fleet):
-    """All of a scenario but the proxies themselves; faults of every kind act on it."""
+    """Hosts, discovery, load and relays of a scenario; starts and signals the proxy processes."""
 
-    def __init__(self, told: Scenario, wire: list, clock, folder: Path) -> None:
-        super().__init__(told, wire, clock, told.seed, told.proxies)
+    def __init__(self, scenario: Scenario, wire: list, clock, folder: Path) -> None:
+        super().__init__(scenario, wire, clock, scenario.seed, scenario.proxies)
         self.folder = folder
-        self.relays = Relays(told.proxies, self.links, clock, told.seed)
-        self.running: list[asyncio.subprocess.Process | None] = [None] * told.proxies
-        self.addresses: list = [None] * told.proxies  # of those that clients may ask
-        self.consoles: list = [None] * told.proxies
+        self.relays = Relays(scenario.proxies, self.links, clock, scenario.seed)
+        self.running: list[asyncio.subprocess.Process | None] = [None] * scenario.proxies
+        self.addresses: list = [None] * scenario.proxies  # of the proxies that clients may call
+        self.consoles: list = [None] * scenario.proxies
         self.clients: Clients | None = None
-        self.log_events: list[tuple] = []  # (when read, proxy, event, fields): the proxies' own logs
-        self.readers: set[asyncio.Task] = set()  # emptied as processes end
+        self.log_events: list[tuple] = []  # (time read, proxy, event, fields) from the proxies' logs
+        self.readers: set[asyncio.Task] = set()  # of logs; each is removed when its process ends
         self.stopped: set[int] = set()
-        self.faults: list[dict] = []  # what a log called one
+        self.faults: list[dict] = []  # faults that proxies logged, and unexpected exits and output
         self.begin_ns, self.begin_at = 0, 0.0
-        self.wall_ahead = time.time() - clock()  # of the machine's wall clock against the rig's
+        self.wall_ahead = time.time() - clock()  # wall clock minus the rig's clock, seconds
 
     async def open(self) -> None:
         await super().open()
@@ -70,29 +72,29 @@
 
     # ---- proxies
 
-    def files(self, n: int) -> Path:
+    def write_files(self, n: int) -> Path:
         folder = self.folder / f"p{n}"
         folder.mkdir(exist_ok=True)
         zones = sorted(set(self.zones))
-        agreed = settings(self.told, n, zones[n % len(zones)])
-        agreed["allowed"]["peers"] = self.told.fleet is not None
-        start = {
+        proxy_settings = settings(self.told, n, zones[n % len(zones)])
+        proxy_settings["allowed"]["peers"] = self.told.fleet is not None
+        start_up = {
             "name": f"p{n}",
             "listen": "127.0.0.1:0",
             "console": "127.0.0.1:0",
             "discovery": self.discovery_at[n],
             "seed": self.told.seed * 1000 + n,
-            "limits": {"sockets": SOCKETS},
+            "limits": {"sockets": SOCKET_LIMIT},
             "known": self.listing(range(self.told.size), True, n),
-            "settings": agreed,
+            "settings": proxy_settings,
         }
-        (folder / "start.json").write_bytes(orjson.dumps(start))
+        (folder / "start.json").write_bytes(orjson.dumps(start_up))
         if self.told.fleet is not None:
             key = folder / "key"
             key.write_bytes(KEY)
             key.chmod(0o600)
-            seeds = [f"127.0.0.1:{port}" for _, port in self.relays.public_addresses[:SEEDS]]
-            lines = [
+            seeds = [f"127.0.0.1:{port}" for _, port in self.relays.public_addresses[:SEED_COUNT]]
+            fleet_lines = [
                 f'listen = "127.0.0.1:{self.relays.member_addresses[n][1]}"',
                 f"seeds = {seeds}",
                 'key_file = "key"',
@@ -100,48 +102,48 @@
                 f"shares = {self.told.fleet.shares}",
             ]
             if self.told.fleet.limits:
-                lines.append(f"keepers = {limit_voters(self.told.proxies)}")
+                fleet_lines.append(f"keepers = {limit_voters(self.told.proxies)}")
             for limit in self.told.fleet.limits:
-                lines.append("[[limits]]")
-                lines += [
+                fleet_lines.append("[[limits]]")
+                fleet_lines += [
                     f"{name} = {orjson.dumps(value).decode()}"
                     for name, value in msgspec.to_builtins(limit).items()
                 ]
-            (folder / "fleet.toml").write_text("\n".join(lines))
+            (folder / "fleet.toml").write_text("\n".join(fleet_lines))
         return folder
 
-    async def start(self, n: int) -> None:
-        folder = await asyncio.to_thread(self.files, n)  # a slow disk must not hold up what is measured
+    async def start_process(self, n: int) -> None:
+        folder = await asyncio.to_thread(self.write_files, n)  # a slow disk must not block the event loop
         self.begins(n)
-        environ = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
+        environment = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
         module, clocks = "basalthook", self.clocks_of(n)
         if clocks:
-            module, environ[CLOCK_VARIABLE] = "basalthook.lab.underclock", encode_clock_faults(clocks)
+            module, environment[CLOCK_VARIABLE] = "basalthook.lab.underclock", encode_clock_faults(clocks)
         if self.told.system_calls is not None:
             chances = msgspec.structs.replace(self.told.system_calls, seed=self.told.seed * 1000 + n)
             module = "basalthook.lab.underclock"
-            environ[syscalls.ENVIRONMENT_VARIABLE] = msgspec.json.encode(chances).decode()
-        call = [sys.executable, "-m", module, "serve", "--file", str(folder / "start.json")]
+            environment[syscalls.ENVIRONMENT_VARIABLE] = msgspec.json.encode(chances).decode()
+        command = [sys.executable, "-m", module, "serve", "--file", str(folder / "start.json")]
         if self.told.fleet is not None:
-            call += ["--fleet", str(folder / "fleet.toml")]
-        errors = await asyncio.to_thread(open, folder / "stderr", "ab")
+            command += ["--fleet", str(folder / "fleet.toml")]
+        stderr_file = await asyncio.to_thread(open, folder / "stderr", "ab")
         process = await asyncio.create_subprocess_exec(
-            *call,
+            *command,
             stdout=asyncio.subprocess.PIPE,
-            env=environ,
+            env=environment,
             stdin=asyncio.subprocess.DEVNULL,
-            stderr=errors,
+            stderr=stderr_file,
             limit=2**20,
             preexec_fn=prepare_child,
         )
-        errors.close()
+        stderr_file.close()
         self.running[n] = process
-        reader = asyncio.get_running_loop().create_task(self.read(n, process))
+        reader = asyncio.get_running_loop().create_task(self.read_log(n, process))
         self.readers.add(reader)
         reader.add_done_callback(self.readers.discard)
 
     def clocks_of(self, n: int) -> list[tuple]:
-        """Entries for `underclock`; a fault from the first moment on holds before it as well."""
+        """Clock faults for `underclock`; a fault at time 0 already applies while the process starts."""
 
         def moment(at: float) -> int:
             return self.begin_ns + int(at * 1e9)
@@ -152,8 +154,8 @@
             if isinstance(f, ClockFault) and n in f.proxies
         ]
 
-    async def read(self, n: int, process) -> None:
-        """Its log, line by line, until it ends."""
+    async def read_log(self, n: int, process) -> None:
+        """Reads the log of a process line by line until it ends."""
         while line := await process.stdout.readline():
             try:
                 fields = orjson.loads(line)
@@ -170,7 +172,7 @@
             self.faults.append({"proxy": n, "exit": process.returncode})
 
     def excuse_open_transactions(self, n: int) -> None:
-        """What is open at a process that is about to be killed or stopped can't be answered by anyone."""
+        """Excuses the transactions open at a proxy about to be killed or stopped, as it can't answer them."""
         self.addresses[n] = None
         for client in self.clients.all:
             if client.proxy == n and client.asked is not None:
@@ -184,108 +186,108 @@
     def kill_proxy(self, n: int) -> None:
         self.excuse_open_transactions(n)
         if self.running[n] is not None:
-            signalled(self.running[n], signal.SIGKILL)
+            send_signal(self.running[n], signal.SIGKILL)
             self.running[n] = None
 
     def terminate(self, n: int) -> None:
-        """SIGTERM; new connections come for a moment more, SIGKILL at the earliest moment that is allowed."""
+        """Sends SIGTERM, lets clients connect a little longer, and sends SIGKILL as early as is allowed."""
         process, loop = self.running[n], asyncio.get_running_loop()
         if process is None or process.returncode is not None:
             return
-        signalled(process, signal.SIGTERM)
-        loop.call_later(NEW_ON, self.addresses.__setitem__, n, None)
+        send_signal(process, signal.SIGTERM)
+        loop.call_later(NEW_CONNECTIONS_S, self.addresses.__setitem__, n, None)
         longest = max(profile.hard_limit for profile in self.told.load.profiles)
-        loop.call_later(longest + KILL_AFTER, self.kill_terminated, n, process)
+        loop.call_later(longest + KILL_DELAY_S, self.kill_after_termination, n, process)
 
-    def kill_terminated(self, n: int, process) -> None:
-        signalled(process, signal.SIGKILL)
+    def kill_after_termination(self, n: int, process) -> None:
+        send_signal(process, signal.SIGKILL)
         if self.running[n] is process:
             self.running[n] = None
 
     def start_proxy(self, n: int, forgets: bool) -> None:
-        self.run_in_background(self.again(n, forgets))
+        self.run_in_background(self.restart(n, forgets))
 
-    async def again(self, n: int, forgets: bool) -> None:
+    async def restart(self, n: int, forgets: bool) -> None:
         if forgets:
             await asyncio.to_thread(shutil.rmtree, self.folder / f"p{n}", True)
-        await self.start(n)
+        await self.start_process(n)
 
     def reconfigure(self, n: int, times: int, lasts: float) -> None:
-        self.run_in_background(self.reconfigure_in_a_row(n, times, lasts / times))
+        self.run_in_background(self.reconfigure_repeatedly(n, times, lasts / times))
 
-    async def reconfigure_in_a_row(self, n: int, times: int, pause: float) -> None:
-        """New start-up files, each with discovery at another address, and SIGHUP after each."""
+    async def reconfigure_repeatedly(self, n: int, times: int, pause: float) -> None:
+        """Writes new start-up files, each with another discovery address, and sends SIGHUP after each."""
         for _ in range(times):
             await self.open_discovery(n)
-            await asyncio.to_thread(self.files, n)
+            await asyncio.to_thread(self.write_files, n)
             if self.running[n] is None or self.running[n].returncode is not None:
                 return
             self.moved[n] = self.clock()
-            signalled(self.running[n], signal.SIGHUP)
+            send_signal(self.running[n], signal.SIGHUP)
             await asyncio.sleep(pause)
 
     def pause_proxy(self, n: int) -> None:
-        signalled(self.running[n], signal.SIGSTOP)
+        send_signal(self.running[n], signal.SIGSTOP)
 
     def unpause_proxy(self, n: int) -> None:
-        signalled(self.running[n], signal.SIGCONT)
+        send_signal(self.running[n], signal.SIGCONT)
 
     def stop_proxy(self, n: int) -> None:
         self.excuse_open_transactions(n)
         self.stopped.add(n)
-        signalled(self.running[n], signal.SIGSTOP)
+        send_signal(self.running[n], signal.SIGSTOP)
 
     def resume_proxy(self, n: int) -> None:
-        signalled(self.running[n], signal.SIGCONT)
+        send_signal(self.running[n], signal.SIGCONT)
         self.stopped.discard(n)
         at = next(
             fields["listen"]
-            for _, who, event, fields in reversed(self.log_events)
-            if who == n and event == "ready"
+            for _, proxy, event, fields in reversed(self.log_events)
+            if proxy == n and event == "ready"
         )
-        # guards against clients that it would find waiting since before, and answer too late
-        asyncio.get_running_loop().call_later(LOOK, self.addresses.__setitem__, n, tuple(at))
+        # a client that connects before the process runs again would wait in its backlog and be answered late
+        asyncio.get_running_loop().call_later(LOG_READ_DELAY_S, self.addresses.__setitem__, n, tuple(at))
 
     def set_clock(self, n: int, ahead: float, rate: float) -> None:
-        """Its clocks know by themselves when: they were told at its start."""
+        """Does nothing: a process receives its clock faults with their times when it starts."""
 
-    def run_in_background(self, work) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def run_in_background(self, coroutine) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
 
     async def end(self) -> None:
         for process in self.running:
-            signalled(process, signal.SIGCONT)
-            signalled(process, signal.SIGTERM)
+            send_signal(process, signal.SIGCONT)
+            send_signal(process, signal.SIGTERM)
         if self.readers:
-            await asyncio.wait(self.readers, timeout=GO)
+            await asyncio.wait(self.readers, timeout=EXIT_TIMEOUT_S)
         for process in self.running:
             if process is not None and process.returncode is None:
-                signalled(process, signal.SIGKILL)
+                send_signal(process, signal.SIGKILL)
                 await process.wait()
         for n in range(self.told.proxies):
-            errors = self.folder / f"p{n}" / "stderr"
-            if errors.exists() and (text := errors.read_text("utf-8", "replace")):
+            stderr_file = self.folder / f"p{n}" / "stderr"
+            if stderr_file.exists() and (text := stderr_file.read_text("utf-8", "replace")):
                 self.faults.append({"proxy": n, "stderr": text[-500:]})
         self.relays.close()
         self.close()
 
-    # ---- what a run comes to
+    # ---- results of a run
 
     def figures(self, begin: float) -> dict:
-        """`staleness` is of the proxies' own logs against what the relays saw; messages are the relays'."""
+        """Figures on the fleet, from the proxies' logs and the relays; ages and times are in seconds."""
         relays, seconds, count = self.relays, self.told.seconds, self.told.proxies
-        staleness, over = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
+        staleness, over_age = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
         for at, n, event, fields in self.log_events:
-            for mark in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
-                if mark in relays.first_published:
+            for fact_id in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
+                if fact_id in relays.first_published:
                     kind, age = (
-                        relays.fact_kinds[mark],
-                        self.verdict_time(at, n, fields) - relays.first_published[mark],
+                        relays.fact_kinds[fact_id],
+                        self.verdict_time(at, n, fields) - relays.first_published[fact_id],
                     )
                     staleness[kind] = max(staleness[kind], age)
-                    over += age > FACT_LIFETIMES[kind] / 10_000 * (1 + CLOCKS_APART) + LOOK
+                    over_age += age > FACT_LIFETIMES[kind] / 10_000 * (1 + CLOCK_DRIFT) + LOG_READ_DELAY_S
         suspected = Counter(
             (at, fields["name"])
             for at, _, event, fields in self.log_events
@@ -296,7 +298,7 @@
         sent = [relays.sent[n] / seconds for n in range(count)]
         return {
             "staleness": {kind: round(age, 3) for kind, age in staleness.items()},
-            "over_age": over,
+            "over_age": over_age,
             "younger": len(relays.too_young_facts),
             **self.detection_times(begin),
             "false_suspicions": false,
@@ -304,25 +306,32 @@
         }
 
     def verdict_time(self, at: float, n: int, fields: dict) -> float:
-        """When a proxy did what it says: when the line was read; or, as a line may lie in a process that is
-        stopped, when that one says, if it was stopped just before."""
+        """When a proxy acted on a verdict: normally the time at which its log line was read.
+
+        A line written before a stop may be read only after it, so just after a stop the proxy's own time
+        stamp is used if it is earlier.
+        """
         for fault in self.told.faults:
-            back = self.begin_at + fault.at + fault.lasts
-            if isinstance(fault, StopProxy) and n in fault.proxies and back <= at < back + 2 * LOOK:
+            resumed_at = self.begin_at + fault.at + fault.lasts
+            if (
+                isinstance(fault, StopProxy)
+                and n in fault.proxies
+                and resumed_at <= at < resumed_at + 2 * LOG_READ_DELAY_S
+            ):
                 return min(at, fields["at"] - self.wall_ahead)
         return at
 
     def was_reachable(self, name: str, at: float) -> bool:
-        """Whether the rig knew this proxy as running then, and cut off from nobody."""
+        """Whether this proxy was unaffected by faults of proxies and by cuts at the time `at`."""
         since = at - self.begin_at
         for fault in self.told.faults:
-            hit = int(name[1:]) in getattr(fault, "proxies", ()) or getattr(fault, "cuts", False)
-            if hit and fault.at <= since <= fault.at + fault.lasts + HEALED:
+            affected = int(name[1:]) in getattr(fault, "proxies", ()) or getattr(fault, "cuts", False)
+            if affected and fault.at <= since <= fault.at + fault.lasts + RECOVERY_S:
                 return False
         return True
 
     def detection_times(self, begin: float) -> dict:
-        """For each fault, seconds until the first and the last member that runs has one of its hosts out."""
+        """For each fault: seconds until the first and until every running proxy had one of its hosts out."""
         detect, agree = [], []
         for fault in self.told.faults:
             first: dict[str, dict[int, float]] = {}
@@ -335,65 +344,79 @@
                     and (host.startswith("host-") and int(host[5:]) in fault.hosts)
                 ):
                     first.setdefault(host, {}).setdefault(n, at - begin - fault.at)
-            whole = [max(seen.values()) for seen in first.values() if len(seen) == self.told.proxies]
+            times_of_last = [max(seen.values()) for seen in first.values() if len(seen) == self.told.proxies]
             detect.append(round(min(min(seen.values()) for seen in first.values()), 3) if first else None)
-            agree.append(round(max(whole), 3) if whole and len(whole) == len(first) else None)
+            agree.append(
+                round(max(times_of_last), 3) if times_of_last and len(times_of_last) == len(first) else None
+            )
         return {"detect_s": detect, "agree_s": agree}
 
 
 def prepare_child() -> None:
-    """In the child, before it becomes a proxy: it ends with the lab, and SIGHUP in the interpreter's first
-    moments must not end it, as the deploy file starts it."""
+    """Runs in the child before it executes the program.
+
+    The child is killed when the lab ends. It ignores SIGHUP, as under the deploy file, because a SIGHUP while
+    the interpreter starts would end it.
+    """
     if LIBC is not None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def signalled(process: asyncio.subprocess.Process | None, number: int) -> None:
-    """Sends a signal, if the process still runs.
+def send_signal(process: asyncio.subprocess.Process | None, signal_number: int) -> None:
+    """Sends a signal if the process still runs.
 
-    Not by the process's own method: that one looks first whether it has ended, and may so take its exit code
-    from the event loop, which then gives 255.
+    Process.send_signal is not used: it polls the process first and may so reap its exit code before the event
+    loop does, which then reports 255.
     """
     if process is not None and process.returncode is None:
         with suppress(ProcessLookupError):
-            os.kill(process.pid, number)
+            os.kill(process.pid, signal_number)
 
 
-def play(told: Scenario, keep: list | None = None) -> Result:
-    """`keep`: takes the rig, for whoever wants to look closer."""
-    if any(isinstance(fault, Vanish | LongWay | Maintain) for fault in told.faults):
-        raise BadScenario(f"{told.name}: no vanish, long_way or maintain at depth `processes`")
-    return asyncio.run(_play(told, keep))
+def play(scenario: Scenario, rigs: list | None = None) -> Result:
+    """Runs the scenario; the rig is appended to `rigs`, if given, for inspection after the run.
+
+    Raises BadScenario for faults that this depth doesn't support, and if a proxy is not ready in time.
+    """
+    if any(isinstance(fault, Vanish | LongWay | Maintain) for fault in scenario.faults):
+        raise BadScenario(
+            f"{scenario.name}: vanish, long_way and maintain are not supported at depth `processes`"
+        )
+    return asyncio.run(_play(scenario, rigs))
 
 
-async def _play(told: Scenario, keep: list | None) -> Result:
+async def _play(scenario: Scenario, rigs: list | None) -> Result:
     loop, wire, folder = asyncio.get_running_loop(), [], Path(tempfile.mkdtemp(prefix="basalthook-lab-"))
-    rig = Rig(told, wire, loop.time, folder)
-    to_come, work = [], None
+    rig = Rig(scenario, wire, loop.time, folder)
+    fault_handles, load_task = [], None
     try:
         await rig.open()
-        begin = rig.begin_at = loop.time() + START + EACH * told.proxies
+        begin = rig.begin_at = loop.time() + START_DELAY_S + START_DELAY_PER_PROXY_S * scenario.proxies
         rig.begin_ns = time.monotonic_ns() + int((begin - loop.time()) * 1e9)
-        rig.clients = clients = Clients(told.load, wire, loop.time, told.seed, rig.addresses)
-        await asyncio.gather(*(rig.start(n) for n in range(told.proxies)))
+        rig.clients = clients = Clients(scenario.load, wire, loop.time, scenario.seed, rig.addresses)
+        await asyncio.gather(*(rig.start_process(n) for n in range(scenario.proxies)))
         await asyncio.sleep(begin - loop.time())
-        late = [f"p{n}" for n, address in enumerate(rig.addresses) if address is None]
-        if late:
-            raise BadScenario(f"{told.name}: not ready in time: {', '.join(late)}; {rig.faults[:1]}")
-        to_come = [loop.call_at(begin + at, act, rig, *given) for at, act, given in moments(told.faults)]
-        work = loop.create_task(clients.run(told.seconds, told.rate))
-        await work
+        not_ready = [f"p{n}" for n, address in enumerate(rig.addresses) if address is None]
+        if not_ready:
+            raise BadScenario(
+                f"{scenario.name}: proxies not ready in time: {', '.join(not_ready)}; {rig.faults[:1]}"
+            )
+        fault_handles = [
+            loop.call_at(begin + at, act, rig, *given) for at, act, given in moments(scenario.faults)
+        ]
+        load_task = loop.create_task(clients.run(scenario.seconds, scenario.rate))
+        await load_task
     finally:
-        if work is not None:
-            work.cancel()
-        for handle in to_come:
+        if load_task is not None:
+            load_task.cancel()
+        for handle in fault_handles:
             handle.cancel()
         await rig.end()
         shutil.rmtree(folder, ignore_errors=True)
-    if keep is not None:
-        keep.append(rig)
-    talk = rig.figures(begin) if told.fleet else None
-    if told.fleet and told.fleet.limits:
-        talk["limits"] = overrun.figures(sorted(wire, key=lambda e: e.at), told)
-    return found(told, wire, begin, "processes", rig.faults, talk=talk)
+    if rigs is not None:
+        rigs.append(rig)
+    gossip_figures = rig.figures(begin) if scenario.fleet else None
+    if scenario.fleet and scenario.fleet.limits:
+        gossip_figures["limits"] = overrun.figures(sorted(wire, key=lambda e: e.at), scenario)
+    return found(scenario, wire, begin, "processes", rig.faults, talk=gossip_figures)
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -1,10 +1,12 @@
-"""The ways between members: every datagram passes here, and faults lie on each pair and direction apart.
+"""Relays for the datagrams between members, with faults for each pair of members and direction.
 
-One socket a member: what member *a* sends to *b*'s told address comes in at the relay's socket for *b* with
-*a*'s source port, and goes on from the relay's socket for *a*. So each sees the right address of the other.
+There is one relay socket per member. What member *a* sends to the public address of *b* arrives at the relay
+socket of *b* with the source port of *a*, and is forwarded from the relay socket of *a*. So each member sees
+the public address of the other.
 
-What members tell is read here too, by the msgpack library alone: a judge must not rest on what it judges.
-When a datagram was sent is the kernel's word, so a lab process that is late to read judges nobody by that.
+The relays also check the ages of the facts that members send. They decode messages with the msgpack library
+alone, so that the check doesn't depend on the code under test. The send time of a datagram comes from the
+kernel's time stamp, so a lab process that reads late doesn't distort the check.
 """
 
 import asyncio
@@ -19,16 +21,16 @@
 from ..transport import timestamps
 from .links import Links, flip_random_bit
 
-HEAD = 9  # bytes before the message
-ASK, ANSWER, ASK_DIFFERING = 17, 18, 19  # kinds of message: two questions, and what carries facts
-SLOW_CLOCK = 0.97  # the least part of a span that a member's clock may show, as the lab sets them
-ROUNDING = 0.01  # seconds by which an age may be told too low
-READ_MOST = 64  # datagrams read in a row from one socket
-LENGTH_MOST = 4096  # bytes read of one datagram
+HEADER_BYTES = 9  # before the message
+FETCH, FACTS, FETCH_DIFFERING = 17, 18, 19  # kinds of message, see fleet.gossip
+MIN_CLOCK_RATE = 0.97  # lower bound of the clock rates that the lab sets, with a margin
+AGE_ROUNDING_S = 0.01  # tolerance for ages rounded down
+MAX_DATAGRAMS_PER_READ = 64  # read in a row from one socket
+MAX_DATAGRAM_BYTES = 4096
 
 
 class RelaySocket:
-    """What others take for the address of one member."""
+    """The relay socket of one member, at its public address."""
 
     def __init__(self, relays: "Relays", number: int) -> None:
         self.relays, self.number = relays, number
@@ -39,16 +41,18 @@
         asyncio.get_running_loop().add_reader(self.socket.fileno(), self.readable)
 
     def readable(self) -> None:
-        for _ in range(READ_MOST):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, ancillary, _, source = self.socket.recvmsg(LENGTH_MOST, timestamps.ANCILLARY_BYTES)
-            except OSError:  # nothing more
+                data, ancillary, _, source = self.socket.recvmsg(
+                    MAX_DATAGRAM_BYTES, timestamps.ANCILLARY_BYTES
+                )
+            except OSError:  # no datagram is left
                 return
             sent_at = self.relays.clock() - timestamps.receive_delay(ancillary) / 1e9
             self.relays.relay_datagram(self.number, data, source, sent_at)
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        with suppress(OSError):  # a full buffer loses it, as a network may
+        with suppress(OSError):  # a full send buffer loses the datagram, as a network may
             self.socket.sendto(data, address)
 
     def close(self) -> None:
@@ -58,77 +62,84 @@
 
 
 class Relays:
-    """`clock()`: the rig's seconds. `real`: where members' own sockets are; `told`: what others are told."""
+    """Relay sockets of all members, and the check of fact ages.
+
+    `clock` returns the rig's time in seconds. `member_addresses` are those of the members' own sockets,
+    `public_addresses` those of the relay sockets, which the other members use.
+    """
 
     def __init__(self, count: int, links: Links, clock, seed: int) -> None:
-        self.count, self.links, self.clock, self.chance = count, links, clock, Random(f"spoils of {seed}")
+        self.count, self.links, self.clock, self.random = count, links, clock, Random(f"spoils of {seed}")
         self.sockets: list[RelaySocket] = []
         self.member_addresses: list[tuple[str, int]] = []
         self.public_addresses: list[tuple[str, int]] = []
         self.by_port: dict[int, int] = {}
         self.sent, self.sent_bytes = Counter(), Counter()
-        self.first_published: dict[int, float] = {}  # mark of a fact -> when it first came by
-        self.fact_kinds: dict[int, str] = {}  # mark -> kind of fact
-        self.fetch_sent_at: dict[int, float] = {}  # nonce of a question -> when it was sent
-        self.too_young_facts: list[tuple] = []  # facts told younger than they can be: a defect
+        self.first_published: dict[
+            int, float
+        ] = {}  # id of a fact -> publication time, from its first datagram
+        self.fact_kinds: dict[int, str] = {}  # id -> kind of fact
+        self.fetch_sent_at: dict[int, float] = {}  # nonce of a request -> when it was sent
+        self.too_young_facts: list[tuple] = []  # facts sent with an age below the possible one: a defect
 
     async def open(self) -> None:
         for number in range(self.count):
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-                free.bind(("127.0.0.1", 0))
-                self.member_addresses.append(free.getsockname())
-            end = RelaySocket(self, number)
-            self.sockets.append(end)
-            self.public_addresses.append(end.socket.getsockname())
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free_socket:
+                free_socket.bind(("127.0.0.1", 0))
+                self.member_addresses.append(free_socket.getsockname())
+            relay_socket = RelaySocket(self, number)
+            self.sockets.append(relay_socket)
+            self.public_addresses.append(relay_socket.socket.getsockname())
         self.by_port = {address[1]: number for number, address in enumerate(self.member_addresses)}
 
     def close(self) -> None:
-        for end in self.sockets:
-            end.close()
+        for relay_socket in self.sockets:
+            relay_socket.close()
 
-    def relay_datagram(self, target: int, data: bytes, source, sent_at: float) -> None:
+    def relay_datagram(self, receiver: int, data: bytes, source, sent_at: float) -> None:
         sender = self.by_port.get(source[1])
-        if sender is None:  # none of the members'
+        if sender is None:  # not sent by a member
             return
         self.sent[sender] += 1
         self.sent_bytes[sender] += len(data)
         self.inspect(sender, data, sent_at)
-        way = self.links.datagram_outcome(f"p{sender}", f"p{target}")
-        if way.corrupted:
-            data = flip_random_bit(data, self.chance)
-        for late in way.copies:
-            if late:
-                asyncio.get_running_loop().call_later(late, self.forward, sender, target, data)
+        outcome = self.links.datagram_outcome(f"p{sender}", f"p{receiver}")
+        if outcome.corrupted:
+            data = flip_random_bit(data, self.random)
+        for delay in outcome.copies:
+            if delay:
+                asyncio.get_running_loop().call_later(delay, self.forward, sender, receiver, data)
             else:
-                self.forward(sender, target, data)
+                self.forward(sender, receiver, data)
 
-    def forward(self, sender: int, target: int, data: bytes) -> None:
-        self.sockets[sender].send(data, self.member_addresses[target])
+    def forward(self, sender: int, receiver: int, data: bytes) -> None:
+        self.sockets[sender].send(data, self.member_addresses[receiver])
 
     def inspect(self, sender: int, data: bytes, sent_at: float) -> None:
-        """Notes questions, and judges the facts in answers."""
+        """Records the send time of requests, and checks the facts in answers."""
         try:
-            message = msgpack.unpackb(data[HEAD:])
+            message = msgpack.unpackb(data[HEADER_BYTES:])
         except ValueError:
             return
         if not isinstance(message, list) or not message:
             return
-        if message[0] in (ASK, ASK_DIFFERING):
+        if message[0] in (FETCH, FETCH_DIFFERING):
             self.fetch_sent_at.setdefault(message[2], sent_at)
-        elif message[0] == ANSWER:
-            since = min(sent_at, self.fetch_sent_at.get(message[2], sent_at))
+        elif message[0] == FACTS:
+            fetch_time = min(sent_at, self.fetch_sent_at.get(message[2], sent_at))
             for fact in message[3]:
-                self.check_fact_age(sender, fact, sent_at, since)
+                self.check_fact_age(sender, fact, sent_at, fetch_time)
 
-    def check_fact_age(self, sender: int, plain: list, sent_at: float, since: float) -> None:
-        """Whether a fact is told younger than it was at `since`, the moment of the question it answers.
+    def check_fact_age(self, sender: int, fields: list, sent_at: float, fetch_time: float) -> None:
+        """Records a fact whose stated age is lower than its age at `fetch_time`, when it was requested.
 
-        The asker adds what has passed since its question, so from then on no delay makes a fact younger.
+        The receiver adds the time since its request to the stated age, so an age that is right at the request
+        never becomes too low by a later delay.
         """
-        author, life, kind, subject, sequence, value, ticks = plain
+        author, life, kind, subject, sequence, value, ticks = fields
         age = ticks / 10_000
-        mark = Fact(author, life, kind, subject, sequence, tuple(value), ticks).fact_id
-        first = self.first_published.setdefault(mark, sent_at - age)
-        self.fact_kinds[mark] = kind
-        if age < (since - first) * SLOW_CLOCK - ROUNDING:
-            self.too_young_facts.append((sent_at, sender, mark, age, since - first))
+        fact_id = Fact(author, life, kind, subject, sequence, tuple(value), ticks).fact_id
+        first_seen = self.first_published.setdefault(fact_id, sent_at - age)
+        self.fact_kinds[fact_id] = kind
+        if age < (fetch_time - first_seen) * MIN_CLOCK_RATE - AGE_ROUNDING_S:
+            self.too_young_facts.append((sent_at, sender, fact_id, age, fetch_time - first_seen))
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -1,14 +1,13 @@
-"""Random schedules of faults on the members' cores alone, in virtual time: seeds by thousands, and what must
-hold.
+"""Random schedules of faults on gossip alone, in virtual time, checked against four rules:
 
-    old      no word is seen by anyone once it is older than its kind's life, by the one true clock
-    apart    fifteen quiet seconds after the last fault, all that live hold one another for alive
-    unlike   and hold the same words
-    forgot   what a member has told since its last start is held by that member until it is too old
+    old      no member holds a fact older than the lifetime of its kind, by the simulation's clock
+    apart    fifteen seconds after the last fault, all live members consider each other alive
+    unlike   fifteen seconds after the last fault, all live members hold the same facts
+    forgot   a member holds what it has published since its last start until that is too old
 
-A schedule is a few members, words told at random, and cuts, losses, delays, doubles, spoilt bytes, kills with
-all forgotten, stops, clocks apart and fast. `python -m basalthook.lab.schedules FIRST COUNT` plays so many
-seeds.
+A schedule has a few members, facts published at random, and cuts, lost, delayed, duplicated and corrupted
+datagrams, kills that lose all state, stops, and clocks that differ in time and rate.
+`python -m basalthook.lab.schedules FIRST COUNT` runs COUNT seeds from FIRST.
 """
 
 import sys
@@ -23,198 +22,230 @@
 from .links import Links, flip_random_bit
 
 KEY, FACT_LIFETIMES = b"schedules have a key of their own", {"host": 30_000, "trial": 600_000}
-TICK, WAY = 500, 10  # tenths of a millisecond: between two ticks of a member; a datagram's way
-TROUBLE, QUIET = 200_000, 150_000
-RATES = 1.0, 1.0, 1.02, 0.98
-DRIFT, GRAIN = 0.05, 600  # parts by which clocks may be apart; ticks between two looks
+TICK_INTERVAL, DATAGRAM_DELAY = 500, 10  # in ticks of 0.1 ms
+FAULT_PERIOD, QUIET_PERIOD = 200_000, 150_000
+CLOCK_RATES = 1.0, 1.0, 1.02, 0.98
+CLOCK_DRIFT, AGE_TOLERANCE = 0.05, 600  # fraction of clock drift; ticks, for the check's interval
 
 
 class Violation(NamedTuple):
     rule: str
     at: int
     member: int
-    what: str
+    detail: str
 
 
 class GossipSchedule:
-    def __init__(self, seed: int, talk=Gossip) -> None:
-        """`talk`: what is played; a test hands in one with a fault planted."""
-        self.chance, self.now, self.heap, self.order = Random(f"schedule {seed}"), 1_000_000, [], count()
-        self.size = self.chance.randint(2, 7)
-        self.links, self.make = Links(seed, self.size, 0), talk
-        self.talks: list = [None] * self.size
-        self.lives, self.stopped, self.seeds = [0] * self.size, {}, min(2, self.size)
-        self.rates = [self.chance.choice(RATES) for _ in range(self.size)]
-        self.ahead = [self.chance.choice((0, 0, 36_000_000)) for _ in range(self.size)]
-        self.told: dict[tuple, int] = {}  # (author, life, sequence) -> when, by the true clock
-        self.broken: list[Violation] = []
-
-    def later(self, delay: int, call, *given) -> None:
-        heappush(self.heap, (self.now + delay, next(self.order), call, given))
+    def __init__(self, seed: int, gossip_class=Gossip) -> None:
+        """`gossip_class` is the class under test; tests pass one with a planted fault."""
+        self.random, self.now, self.heap, self.event_sequence = (
+            Random(f"schedule {seed}"),
+            1_000_000,
+            [],
+            count(),
+        )
+        self.size = self.random.randint(2, 7)
+        self.links, self.gossip_class = Links(seed, self.size, 0), gossip_class
+        self.gossip_instances: list = [None] * self.size
+        self.lives, self.stopped, self.seed_count = [0] * self.size, {}, min(2, self.size)
+        self.rates = [self.random.choice(CLOCK_RATES) for _ in range(self.size)]
+        self.clock_offsets = [self.random.choice((0, 0, 36_000_000)) for _ in range(self.size)]
+        self.published_at: dict[tuple, int] = {}  # (author, life, sequence) -> simulation time
+        self.violations: list[Violation] = []
+
+    def call_later(self, delay: int, callback, *arguments) -> None:
+        heappush(self.heap, (self.now + delay, next(self.event_sequence), callback, arguments))
 
     def clock(self, n: int) -> int:
-        return int(self.now * self.rates[n]) + self.ahead[n]
+        return int(self.now * self.rates[n]) + self.clock_offsets[n]
 
     def play(self) -> list[Violation]:
-        self.begin, chance = self.now, self.chance
+        self.begin, random = self.now, self.random
         for n in range(self.size):
-            self.later(chance.randrange(5_000), self.start, n)
-        for _ in range(chance.randint(1, 6)):
-            self.plan(chance)
-        for _ in range(chance.randint(3, 25)):
-            self.later(chance.randrange(5_000, TROUBLE + QUIET // 2), self.tell, chance.randrange(self.size))
-        end = self.begin + TROUBLE + QUIET
+            self.call_later(random.randrange(5_000), self.start, n)
+        for _ in range(random.randint(1, 6)):
+            self.schedule_fault(random)
+        for _ in range(random.randint(3, 25)):
+            self.call_later(
+                random.randrange(5_000, FAULT_PERIOD + QUIET_PERIOD // 2),
+                self.publish_fact,
+                random.randrange(self.size),
+            )
+        end = self.begin + FAULT_PERIOD + QUIET_PERIOD
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, call, given = heappop(self.heap)
-            call(*given)
-        self.settled()
-        return self.broken
-
-    def plan(self, chance: Random) -> None:
-        """One fault that is over before the quiet begins."""
-        begin = chance.randrange(TROUBLE * 3 // 4)
-        lasts = chance.randrange(2_000, TROUBLE - begin)
+            self.now, _, callback, arguments = heappop(self.heap)
+            callback(*arguments)
+        self.check_agreement()
+        return self.violations
+
+    def schedule_fault(self, random: Random) -> None:
+        """Schedules one fault that ends before the quiet period begins."""
+        begin = random.randrange(FAULT_PERIOD * 3 // 4)
+        duration = random.randrange(2_000, FAULT_PERIOD - begin)
         names = [f"p{n}" for n in range(self.size)]
-        sides = [chance.sample(names, chance.randint(1, self.size - 1)) for _ in range(2)]
-        one_way, n = chance.random() < 0.4, chance.randrange(self.size)
-        what = chance.choice(("cut", "lossy", "kill", "stop"))
-        if what == "cut" or what == "lossy":
+        sides = [random.sample(names, random.randint(1, self.size - 1)) for _ in range(2)]
+        one_way, n = random.random() < 0.4, random.randrange(self.size)
+        fault_name = random.choice(("cut", "lossy", "kill", "stop"))
+        if fault_name == "cut" or fault_name == "lossy":
             fault = (
                 Cut(at=0, lasts=1, between=sides, one_way=one_way)
-                if what == "cut"
+                if fault_name == "cut"
                 else Lossy(
                     at=0,
                     lasts=1,
                     between=sides,
                     one_way=one_way,
-                    loses=chance.choice((0, 0.1, 0.5)),
-                    doubles=chance.choice((0, 0.3)),
-                    reorders=chance.choice((0, 0.3)),
-                    delay=chance.choice((0, 0.05, 4.0)),
-                    spoils=chance.choice((0, 0.1)),
+                    loses=random.choice((0, 0.1, 0.5)),
+                    doubles=random.choice((0, 0.3)),
+                    reorders=random.choice((0, 0.3)),
+                    delay=random.choice((0, 0.05, 4.0)),
+                    spoils=random.choice((0, 0.1)),
                 )
             )
-            self.later(begin, self.links.add_fault, fault)
-            self.later(begin + lasts, self.links.remove_fault, fault)
-        elif what == "kill":
-            self.later(begin, self.kill, n)
-            self.later(begin + lasts, self.start, n)
+            self.call_later(begin, self.links.add_fault, fault)
+            self.call_later(begin + duration, self.links.remove_fault, fault)
+        elif fault_name == "kill":
+            self.call_later(begin, self.kill, n)
+            self.call_later(begin + duration, self.start, n)
         else:
-            self.later(begin, self.stop, n)
-            self.later(begin + lasts, self.go_on, n)
+            self.call_later(begin, self.stop, n)
+            self.call_later(begin + duration, self.resume, n)
 
     # ---- members
 
     def start(self, n: int) -> None:
-        if self.talks[n] is not None:
+        if self.gossip_instances[n] is not None:
             return
         self.lives[n] += 1
         life = max(1, self.clock(n) // 10)
-        seeds = [(f"p{k}", 1) for k in range(self.seeds)]
-        talk = self.talks[n] = self.make(
+        seeds = [(f"p{k}", 1) for k in range(self.seed_count)]
+        gossip = self.gossip_instances[n] = self.gossip_class(
             f"p{n}",
             (f"p{n}", 1),
             life,
             seeds,
             KEY,
             FACT_LIFETIMES,
-            Random(self.chance.random()),
+            Random(self.random.random()),
             lambda address, data: self.send(n, address, data),
         )
-        talk.begin(self.clock(n))
-        self.later(self.chance.randrange(TICK), self.tick, n, self.lives[n])
+        gossip.begin(self.clock(n))
+        self.call_later(self.random.randrange(TICK_INTERVAL), self.tick, n, self.lives[n])
 
     def kill(self, n: int) -> None:
-        self.talks[n] = None
+        self.gossip_instances[n] = None
         self.stopped.pop(n, None)
 
     def stop(self, n: int) -> None:
-        if self.talks[n] is not None:
+        if self.gossip_instances[n] is not None:
             self.stopped.setdefault(n, [])
 
-    def go_on(self, n: int) -> None:
+    def resume(self, n: int) -> None:
         for data, source in self.stopped.pop(n, ()):
-            self.talks[n].received(self.clock(n), data, source)
+            self.gossip_instances[n].received(self.clock(n), data, source)
 
     def tick(self, n: int, life: int) -> None:
-        talk = self.talks[n]
-        if talk is None or life != self.lives[n]:
+        gossip = self.gossip_instances[n]
+        if gossip is None or life != self.lives[n]:
             return
-        self.later(TICK, self.tick, n, life)
+        self.call_later(TICK_INTERVAL, self.tick, n, life)
         if n not in self.stopped:
-            talk.tick(self.clock(n))
-            self.look(n, talk)
+            gossip.tick(self.clock(n))
+            self.check_ages(n, gossip)
 
-    def tell(self, n: int) -> None:
-        talk = self.talks[n]
-        if talk is None or n in self.stopped:
+    def publish_fact(self, n: int) -> None:
+        gossip = self.gossip_instances[n]
+        if gossip is None or n in self.stopped:
             return
-        kind, subject = self.chance.choice(tuple(FACT_LIFETIMES)), self.chance.choice("abc")
-        fact = talk.table.publish(self.clock(n), kind, subject, (self.chance.randrange(9),), len(talk.live()))
-        self.told[fact.author, fact.life, fact.sequence] = self.now
+        kind, subject = self.random.choice(tuple(FACT_LIFETIMES)), self.random.choice("abc")
+        fact = gossip.table.publish(
+            self.clock(n), kind, subject, (self.random.randrange(9),), len(gossip.live())
+        )
+        self.published_at[fact.author, fact.life, fact.sequence] = self.now
 
     def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
-        way = self.links.datagram_outcome(f"p{n}", address[0])
-        for late in way.copies:
-            sent = flip_random_bit(data, self.chance) if way.corrupted else data
-            self.later(WAY + int(late * 10_000), self.arrive, int(address[0][1:]), sent, (f"p{n}", 1))
+        outcome = self.links.datagram_outcome(f"p{n}", address[0])
+        for delay in outcome.copies:
+            sent_data = flip_random_bit(data, self.random) if outcome.corrupted else data
+            self.call_later(
+                DATAGRAM_DELAY + int(delay * 10_000),
+                self.receive,
+                int(address[0][1:]),
+                sent_data,
+                (f"p{n}", 1),
+            )
 
-    def arrive(self, n: int, data: bytes, source) -> None:
-        if self.talks[n] is None:
+    def receive(self, n: int, data: bytes, source) -> None:
+        if self.gossip_instances[n] is None:
             return
         if n in self.stopped:
             if len(self.stopped[n]) < 200:
                 self.stopped[n].append((data, source))
         else:
-            self.talks[n].received(self.clock(n), data, source)
-
-    # ---- what must hold
-
-    def look(self, n: int, talk) -> None:
-        for fact in talk.table.live_facts(self.clock(n)):
-            told = self.told.get((fact.author, fact.life, fact.sequence))
-            if told is not None and self.now - told > FACT_LIFETIMES[fact.kind] * (1 + DRIFT) + GRAIN:
-                self.broken.append(Violation("old", self.now - self.begin, n, f"{fact}, {self.now - told}"))
+            self.gossip_instances[n].received(self.clock(n), data, source)
+
+    # ---- rules
+
+    def check_ages(self, n: int, gossip) -> None:
+        for fact in gossip.table.live_facts(self.clock(n)):
+            published = self.published_at.get((fact.author, fact.life, fact.sequence))
+            if (
+                published is not None
+                and self.now - published > FACT_LIFETIMES[fact.kind] * (1 + CLOCK_DRIFT) + AGE_TOLERANCE
+            ):
+                self.violations.append(
+                    Violation("old", self.now - self.begin, n, f"{fact}, {self.now - published}")
+                )
 
-    def settled(self) -> None:
-        living = {f"p{n}" for n, talk in enumerate(self.talks) if talk is not None}
-        held = {}
-        for n, talk in enumerate(self.talks):
-            if talk is None:
+    def check_agreement(self) -> None:
+        live_members = {f"p{n}" for n, gossip in enumerate(self.gossip_instances) if gossip is not None}
+        facts_by_member = {}
+        for n, gossip in enumerate(self.gossip_instances):
+            if gossip is None:
                 continue
-            if set(talk.live()) != living:
-                self.broken.append(Violation("apart", self.now - self.begin, n, f"{talk.live()} of {living}"))
-            words = talk.table.live_facts(self.clock(n))
-            held[n] = {(f.author, f.life, f.kind, f.subject, f.sequence) for f in words if self.sure(f)}
-            mine = {(f.author, f.life, f.sequence) for f in words}
-            last = max(
-                (key for key in self.told if key[0] == f"p{n}" and key[1] == talk.table.life),
+            if set(gossip.live()) != live_members:
+                self.violations.append(
+                    Violation("apart", self.now - self.begin, n, f"{gossip.live()} of {live_members}")
+                )
+            facts = gossip.table.live_facts(self.clock(n))
+            facts_by_member[n] = {
+                (f.author, f.life, f.kind, f.subject, f.sequence) for f in facts if self.is_settled(f)
+            }
+            present = {(f.author, f.life, f.sequence) for f in facts}
+            last_published = max(
+                (key for key in self.published_at if key[0] == f"p{n}" and key[1] == gossip.table.life),
                 key=lambda key: key[2],
                 default=None,
             )
-            if last not in mine and self.now - self.told.get(last, 0) < min(FACT_LIFETIMES.values()) * 0.9:
-                self.broken.append(Violation("forgot", self.now - self.begin, n, f"{last}"))
-        first = next(iter(held.values()), None)
-        for n, words in held.items():
-            if words != first:
-                self.broken.append(Violation("unlike", self.now - self.begin, n, f"{words ^ first}"))
-
-    def sure(self, fact) -> bool:
-        """Neither so young that it may be on its way, nor so old that who got it late, and so counts it
-        as older than it is, may have let it go."""
-        age = self.now - self.told.get((fact.author, fact.life, fact.sequence), self.now)
+            if (
+                last_published not in present
+                and self.now - self.published_at.get(last_published, 0) < min(FACT_LIFETIMES.values()) * 0.9
+            ):
+                self.violations.append(Violation("forgot", self.now - self.begin, n, f"{last_published}"))
+        first = next(iter(facts_by_member.values()), None)
+        for n, facts in facts_by_member.items():
+            if facts != first:
+                self.violations.append(Violation("unlike", self.now - self.begin, n, f"{facts ^ first}"))
+
+    def is_settled(self, fact) -> bool:
+        """Whether all members must hold this fact.
+
+        A younger one may still be on its way; an older one may have expired at members that received it late
+        and so overestimate its age.
+        """
+        age = self.now - self.published_at.get((fact.author, fact.life, fact.sequence), self.now)
         return 60_000 <= age <= FACT_LIFETIMES[fact.kind] / 2
 
 
-def main(first: int, number: int) -> int:
-    found = Counter()
-    for seed in range(first, first + number):
-        broken = GossipSchedule(seed).play()
-        if broken:
-            found[broken[0].rule] += 1
-            print(f"seed {seed}: {broken[0]}", flush=True)
-    print(f"{number} schedules from {first}: {sum(found.values())} broken {dict(found)}")
-    return 1 if found else 0
+def main(first: int, schedule_count: int) -> int:
+    rule_counts = Counter()
+    for seed in range(first, first + schedule_count):
+        violations = GossipSchedule(seed).play()
+        if violations:
+            rule_counts[violations[0].rule] += 1
+            print(f"seed {seed}: {violations[0]}", flush=True)
+    print(f"{schedule_count} schedules from {first}: {sum(rule_counts.values())} broken {dict(rule_counts)}")
+    return 1 if rule_counts else 0
 
 
 if __name__ == "__main__":
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -1,4 +1,4 @@
-"""The members of a virtual fleet: what they send one another, and what the lab reads off them."""
+"""Fleet members in virtual time: their gossip, host verdicts and limits, and the figures measured on them."""
 
 from collections import Counter
 from random import Random
@@ -12,94 +12,101 @@
 from .result import mean_and_most
 from .scenario import bound
 
-TICK = 0.05  # seconds between two looks of a member, as the program does
+TICK_S = 0.05  # interval of a member's tick, as in the program
 KEY = b"the lab's own key, known to all of its members"
-SEEDS = 3  # the first so many members are told to all as seeds
-BACKLOG = 256  # datagrams that wait at a stopped process, as in a kernel's buffer
-DRIFT = 0.03  # part by which a fact's age may be read off too low: clocks run up to 2 in 100 apart
+SEED_COUNT = 3  # the first members are the seeds of all
+MAX_WAITING_DATAGRAMS = 256  # queued for a stopped process, as in a kernel's socket buffer
+CLOCK_DRIFT = 0.03  # tolerance on the age of a fact, as a fraction: clock rates differ by up to 2 %
 
 
 def limit_voters(proxies: int) -> list[str]:
-    """Who votes for the keeper of limits: the first three, an odd number also where there are fewer."""
+    """Names of the proxies that elect the leader of the limits: the first three, or one of fewer."""
     return [f"p{n}" for n in range(3 if proxies >= 3 else 1)]
 
 
 class SimulatedMembers:
-    """`fleet`: the run that they are part of, with its heap, clocks and links."""
+    """The fleet members of one simulated run.
+
+    `fleet` is the SimulatedFleet that provides virtual time, clocks and links.
+    """
 
     def __init__(self, fleet, count: int) -> None:
         self.fleet, self.count = fleet, count
-        self.gossip: list[Gossip | None] = [None] * count
+        self.gossip_instances: list[Gossip | None] = [None] * count
         self.verdicts: list[HostVerdicts | None] = [None] * count
         self.limits: list[FleetLimits | None] = [None] * count
-        self.random = Random(f"datagrams of {fleet.seed}")
-        self.waiting: dict[int, list] = {}  # stopped proxy -> datagrams; emptied as it goes on
-        self.log_events: list[tuple] = []  # (when, proxy, event, fields)
-        self.published_at: dict[tuple, float] = {}  # (author, life, sequence) -> when it was told
+        self.network_random = Random(f"datagrams of {fleet.seed}")
+        self.waiting_datagrams: dict[int, list] = {}  # stopped proxy -> datagrams, until it is resumed
+        self.log_events: list[tuple] = []  # (time, proxy, event, fields)
+        self.published_at: dict[tuple, float] = {}  # (author, life, sequence) -> publication time
         self.staleness = {kind: 0.0 for kind in FACT_LIFETIMES}
-        self.over_age: list[tuple] = []  # facts acted on past their kind's life: a defect
+        self.over_age: list[tuple] = []  # uses of facts older than the lifetime of their kind: a defect
         self.lives = [0] * count
         self.sent, self.sent_bytes = Counter(), Counter()
-        self.false = 0
+        self.false_suspicions = 0
 
     def start_member(self, n: int, proxy, zone: str, first: bool):
-        """What stands beside the decisions. `first`: with the whole fleet, whose members know one another;
-        else with the seeds alone."""
+        """Starts a member and returns the layer that wraps the proxy's decisions.
+
+        With `first` the whole fleet starts and each member knows all others; else it knows only the seeds.
+        """
         fleet, name = self.fleet, f"p{n}"
         self.lives[n] += 1
-        life = max(1, int(fleet.wall_clock(n) * 1000))
-        seeds = [(f"p{seed}", 1) for seed in range(min(SEEDS, self.count))]
-        chance = Random(f"member {n} of {fleet.seed}, life {self.lives[n]}")
-        talk = Gossip(
+        life = max(1, int(fleet.clock_reading(n) * 1000))
+        seeds = [(f"p{seed}", 1) for seed in range(min(SEED_COUNT, self.count))]
+        random = Random(f"member {n} of {fleet.seed}, life {self.lives[n]}")
+        gossip = Gossip(
             name,
             (name, 1),
             life,
             seeds,
             KEY,
             FACT_LIFETIMES,
-            chance,
+            random,
             lambda address, data: self.send(n, address, data),
             lambda event, **fields: self.log_events.append((fleet.now, n, event, fields)),
         )
-        tell = talk.table.publish
+        table_publish = gossip.table.publish
 
-        def noted(*given):
-            fact = tell(*given)
+        def publish_and_note_time(*given):
+            fact = table_publish(*given)
             self.published_at[fact.author, fact.life, fact.sequence] = self.fleet.now
             return fact
 
-        talk.table.publish = noted
+        gossip.table.publish = publish_and_note_time
 
         def log_event(event, **fields):
             self.log_events.append((fleet.now, n, event, fields))
 
-        mind = None
+        host_verdicts = None
         if "verdicts" in fleet.scenario.fleet.shares:
-            mind = HostVerdicts(proxy, talk.table, zone, talk.live, log_event)
-            mind.on_urgent_fact = talk.send_rumours
-            mind.on_evidence_used = lambda name, kind, words: self.record_staleness(n, kind, words)
-        known = (
+            host_verdicts = HostVerdicts(proxy, gossip.table, zone, gossip.live, log_event)
+            host_verdicts.on_urgent_fact = gossip.send_rumours
+            host_verdicts.on_evidence_used = lambda name, kind, evidence: self.record_staleness(
+                n, kind, evidence
+            )
+        members = (
             [
-                Update(f"p{k}", f"p{k}", 1, max(1, int(fleet.wall_clock(k) * 1000)), 0, ALIVE)
+                Update(f"p{k}", f"p{k}", 1, max(1, int(fleet.clock_reading(k) * 1000)), 0, ALIVE)
                 for k in range(self.count)
             ]
             if first
             else []
         )
-        talk.begin(fleet.clock_ticks(n), known)
-        self.gossip[n], self.verdicts[n] = talk, mind
-        fleet.call_later(TICK * self.random.random(), self.tick, n, self.lives[n])
-        beside = mind or FaultAggregator(proxy)
+        gossip.begin(fleet.clock_ticks(n), members)
+        self.gossip_instances[n], self.verdicts[n] = gossip, host_verdicts
+        fleet.call_later(TICK_S * self.network_random.random(), self.tick, n, self.lives[n])
+        layer = host_verdicts or FaultAggregator(proxy)
         if "limits" in fleet.scenario.fleet.shares:
-            beside = self.limit(n, life, proxy, beside, talk, log_event)
-            if first:  # a run begins with a fleet that holds nothing
-                beside.own_places_from = fleet.clock_ticks(n)
-                if beside.election is not None:
-                    beside.election.silent_until = beside.election.next_action_at = fleet.clock_ticks(n)
-                    beside.allocator.no_leases_out = True
-        return beside
-
-    def limit(self, n: int, life: int, proxy, inner, talk: Gossip, log_event) -> FleetLimits:
+            layer = self.start_limits(n, life, proxy, layer, gossip, log_event)
+            if first:  # no leases exist when a run begins, so there is none to wait for
+                layer.own_places_from = fleet.clock_ticks(n)
+                if layer.election is not None:
+                    layer.election.silent_until = layer.election.next_action_at = fleet.clock_ticks(n)
+                    layer.allocator.no_leases_out = True
+        return layer
+
+    def start_limits(self, n: int, life: int, proxy, inner, gossip: Gossip, log_event) -> FleetLimits:
         fleet, scenario = self.fleet, self.fleet.scenario
         names = [p.name for p in scenario.load.profiles]
         voters = tuple(limit_voters(self.count))
@@ -115,78 +122,81 @@
             proxy.settings.proxies,
             hard_limit,
             Random(f"limits {n} of {fleet.seed}, life {self.lives[n]}"),
-            talk.send_to,
-            talk.live,
+            gossip.send_to,
+            gossip.live,
             fleet.clock_ticks(n),
             log_event,
         )
         limits.post_event = lambda event: fleet.call_later(0, fleet.deliver, n, event, fleet.lives[n])
-        talk.message_lengths, talk.on_message = MESSAGE_LENGTHS, limits.received
+        gossip.message_lengths, gossip.on_message = MESSAGE_LENGTHS, limits.received
         self.limits[n] = limits
         return limits
 
     def stop_member(self, n: int) -> None:
         self.add_totals(n)
-        self.gossip[n] = self.verdicts[n] = self.limits[n] = None
-        self.waiting.pop(n, None)
+        self.gossip_instances[n] = self.verdicts[n] = self.limits[n] = None
+        self.waiting_datagrams.pop(n, None)
 
     def add_totals(self, n: int) -> None:
-        talk = self.gossip[n]
-        if talk is not None:
-            self.sent[n] += talk.sent
-            self.sent_bytes[n] += talk.sent_bytes
-            self.false += talk.member.false_suspicions
+        gossip = self.gossip_instances[n]
+        if gossip is not None:
+            self.sent[n] += gossip.sent
+            self.sent_bytes[n] += gossip.sent_bytes
+            self.false_suspicions += gossip.member.false_suspicions
 
     def tick(self, n: int, life: int) -> None:
-        fleet, talk = self.fleet, self.gossip[n]
-        if talk is None or life != self.lives[n]:
+        fleet, gossip = self.fleet, self.gossip_instances[n]
+        if gossip is None or life != self.lives[n]:
             return
-        fleet.call_later(TICK, self.tick, n, life)
+        fleet.call_later(TICK_S, self.tick, n, life)
         if n in fleet.stopped:
             return
         now = fleet.clock_ticks(n)
-        talk.tick(now)
+        gossip.tick(now)
         if self.limits[n] is not None:
             self.limits[n].tick(now)
-        judged = self.verdicts[n].evaluate(now, now) if self.verdicts[n] is not None else None
-        if judged is not None:
-            fleet.deliver(n, judged)
+        event = self.verdicts[n].evaluate(now, now) if self.verdicts[n] is not None else None
+        if event is not None:
+            fleet.deliver(n, event)
 
     def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
-        fleet, target = self.fleet, int(address[0][1:])
-        way = fleet.links.datagram_outcome(f"p{n}", address[0])
-        for late in way.copies:
-            through = flip_random_bit(data, self.random) if way.corrupted else data
-            fleet.call_later(fleet.network_delay("", "") + late, self.arrives, target, through, (f"p{n}", 1))
-
-    def arrives(self, n: int, data: bytes, source: tuple[str, int]) -> None:
-        talk = self.gossip[n]
-        if talk is None:
+        fleet, receiver = self.fleet, int(address[0][1:])
+        outcome = fleet.links.datagram_outcome(f"p{n}", address[0])
+        for delay in outcome.copies:
+            received_data = flip_random_bit(data, self.network_random) if outcome.corrupted else data
+            fleet.call_later(
+                fleet.network_delay("", "") + delay, self.receive, receiver, received_data, (f"p{n}", 1)
+            )
+
+    def receive(self, n: int, data: bytes, sender: tuple[str, int]) -> None:
+        gossip = self.gossip_instances[n]
+        if gossip is None:
             return
         if n in self.fleet.stopped:
-            waiting = self.waiting.setdefault(n, [])
-            if len(waiting) < BACKLOG:
-                waiting.append((data, source))
+            waiting = self.waiting_datagrams.setdefault(n, [])
+            if len(waiting) < MAX_WAITING_DATAGRAMS:
+                waiting.append((data, sender))
             return
-        talk.received(self.fleet.clock_ticks(n), data, source)
+        gossip.received(self.fleet.clock_ticks(n), data, sender)
 
     def deliver_waiting(self, n: int) -> None:
-        for data, source in self.waiting.pop(n, ()):
-            self.gossip[n].received(self.fleet.clock_ticks(n), data, source)
-
-    def record_staleness(self, n: int, kind: str, words) -> None:
-        """By the lab's clock, not the proxy's: how old was the oldest fact that it acts on."""
-        held = self.gossip[n].table.by_id
-        for word in words:
-            fact = held[word.fact_id].fact
+        for data, sender in self.waiting_datagrams.pop(n, ()):
+            self.gossip_instances[n].received(self.fleet.clock_ticks(n), data, sender)
+
+    def record_staleness(self, n: int, kind: str, evidence) -> None:
+        """Records the greatest age of a fact that a proxy acted on, by the lab's clock, not the proxy's."""
+        facts = self.gossip_instances[n].table.by_id
+        for item in evidence:
+            fact = facts[item.fact_id].fact
             age = self.fleet.now - self.published_at[fact.author, fact.life, fact.sequence]
             self.staleness[kind] = max(self.staleness[kind], age)
-            if age * 10_000 > FACT_LIFETIMES[kind] * (1 + DRIFT):
+            if age * 10_000 > FACT_LIFETIMES[kind] * (1 + CLOCK_DRIFT):
                 self.over_age.append((self.fleet.now, n, kind, age))
 
-    # ---- what a run comes to
+    # ---- results of a run
 
     def figures(self, scenario, begin: float) -> dict:
+        """Figures on the fleet for the result of a run; ages and times are in seconds."""
         for n in range(self.count):
             self.add_totals(n)
         rates = [self.sent_bytes[n] / scenario.seconds for n in range(self.count)]
@@ -194,25 +204,27 @@
         return {
             "staleness": {kind: round(age, 3) for kind, age in self.staleness.items()},
             "over_age": len(self.over_age),
-            **self.spread(scenario, begin),
-            "false_suspicions": self.false,
+            **self.detection_times(scenario, begin),
+            "false_suspicions": self.false_suspicions,
             "messages": {"datagrams_s": mean_and_most(sent), "bytes_s": mean_and_most(rates)},
         }
 
-    def spread(self, scenario, begin: float) -> dict:
-        """For each fault of hosts: seconds until the first and the last live member had one of them out."""
+    def detection_times(self, scenario, begin: float) -> dict:
+        """For each fault: seconds until the first and until every live member had one of its hosts out."""
         detect, agree = [], []
-        marks = {f"{mark:x}": n for n, mark in enumerate(self.fleet.host_hashes)}
+        host_numbers = {f"{mark:x}": n for n, mark in enumerate(self.fleet.host_hashes)}
         for fault in scenario.faults:
             first = {}
             for at, n, event, fields in self.log_events:
-                host = marks.get(fields.get("host", "").split(".")[0]) if event == "verdict" else None
+                host = host_numbers.get(fields.get("host", "").split(".")[0]) if event == "verdict" else None
                 if host in fault.hosts and fields["state"] == OUT and at >= begin + fault.at:
                     first.setdefault(host, {}).setdefault(n, at - begin - fault.at)
-            whole = [max(seen.values()) for seen in first.values() if len(seen) >= self.living()]
+            times_of_last = [max(seen.values()) for seen in first.values() if len(seen) >= self.live_count()]
             detect.append(round(min(min(seen.values()) for seen in first.values()), 3) if first else None)
-            agree.append(round(max(whole), 3) if whole and len(whole) == len(first) else None)
+            agree.append(
+                round(max(times_of_last), 3) if times_of_last and len(times_of_last) == len(first) else None
+            )
         return {"detect_s": detect, "agree_s": agree}
 
-    def living(self) -> int:
-        return sum(talk is not None for talk in self.gossip)
+    def live_count(self) -> int:
+        return sum(gossip is not None for gossip in self.gossip_instances)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -131,7 +131,9 @@
         self.assertGreater(states, 10_000)
 
     def test_a_restarted_voter_that_votes_at_once_is_detected(self):
-        self.assertIsNotNone(Explorer(steps=1, max_ballots=1, restarts=1, make=VoterWithoutSilence).run()[1])
+        self.assertIsNotNone(
+            Explorer(steps=1, max_ballots=1, restarts=1, election_class=VoterWithoutSilence).run()[1]
+        )
 
     def test_a_leader_without_the_margin_for_clock_drift_is_detected(self):
         with unittest.mock.patch("basalthook.fleet.election.shorten_for_drift", lambda ticks, drift: ticks):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -132,7 +132,7 @@
             run, result, out = play(fault("silent", at=4, lasts=8, hosts=[0]), cut, seconds=34)
             self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0})
-            self.assertEqual({len(talk.live()) for talk in run.members.gossip}, {20})
+            self.assertEqual({len(talk.live()) for talk in run.members.gossip_instances}, {20})
             # verdicts that the other half revoked during the cut must not survive here
             self.assertFalse(
                 any(s.state == OUT for mind in run.members.verdicts for s in mind.states.values())
@@ -160,7 +160,7 @@
         kills = [fault("kill_proxy", at=1 + 0.7 * n, lasts=0.4, proxies=[3]) for n in range(20)]
         run, result, _ = play(*kills, seconds=24)
         self.assert_invariants(result)
-        self.assertEqual({len(talk.live()) for talk in run.members.gossip}, {20})
+        self.assertEqual({len(talk.live()) for talk in run.members.gossip_instances}, {20})
 
     def test_the_same_seed_gives_the_same_run(self):
         digests = {play(fault("silent", hosts=[0]), seconds=7, proxies=6)[0].digest.hexdigest() for _ in "ab"}
