--- a/basalthook/lab/soak.py
+++ b/basalthook/lab/soak.py
@@ -1,4 +1,4 @@
-"""Short days of many faults at once on real processes, drawn from a seed."""
+"""Short random scenarios with many simultaneous faults on real processes, drawn from a seed."""
 
 from random import Random
 
@@ -6,40 +6,40 @@
 from .scenario import Discovery, Kind, Load, Profile, Rules, Scenario
 from .syscalls import Chances
 
-SECONDS = 14.0  # of load; faults begin within the first `FAULTS`
-FAULTS = 8.0
+LOAD_SECONDS = 14.0
+FAULT_SECONDS = 8.0  # faults begin within this time
 HOSTS, PROXIES = 8, 4
-ANSWER_LATE = 0.5  # seconds past a deadline: until then an answer earns nothing and is no break
-CLOCKS_OFF = (-3600.0, -5.0, 5.0, 3600.0)  # seconds by which a wall clock may be ahead
-RESTARTED = 4.5  # seconds from SIGTERM to the next start: past the earliest kill
+LATE_ANSWER_S = 0.5  # past a deadline, in which an answer breaks no rule but doesn't count as served
+WALL_CLOCK_OFFSETS_S = (-3600.0, -5.0, 5.0, 3600.0)  # of proxies against the machine's clock
+RESTART_DELAY_S = 4.5  # from SIGTERM to the next start; past the earliest SIGKILL
 
 
 def draw_scenario(seed: int) -> Scenario:
-    """The day of this seed; the same for ever, as long as this file stays as it is."""
-    random, further = Random(f"soak {seed}"), Random(f"further faults of soak {seed}")
-    limit = random.choice((0.8, 1.5, 3.0))
+    """Draws the scenario of this seed; any change to the order of draws in this module changes it."""
+    random, further_random = Random(f"soak {seed}"), Random(f"further faults of soak {seed}")
+    deadline = random.choice((0.8, 1.5, 3.0))
     profiles = [
-        Profile(name="read", effect="repeatable", work=0.01, service_goal=0.4, hard_limit=limit, share=2),
-        Profile(name="order", effect="once", work=0.015, service_goal=0.4, hard_limit=limit),
+        Profile(name="read", effect="repeatable", work=0.01, service_goal=0.4, hard_limit=deadline, share=2),
+        Profile(name="order", effect="once", work=0.015, service_goal=0.4, hard_limit=deadline),
         Profile(
             name="put",
             effect="by_key",
             work=0.01,
             service_goal=0.4,
-            hard_limit=limit,
+            hard_limit=deadline,
             window=random.choice((0.3, 0.6, 2.0)),
         ),
     ]
-    crowd = random.random() < 0.3
+    has_idle_clients = random.random() < 0.3
     load = Load(
         rate=random.uniform(60, 160),
         profiles=profiles,
         leave=random.choice((0.0, 0.1, 0.3)),
         ahead=0.5,
         retries=random.choice((0, 2)),
-        idle=random.randint(120, 260) if crowd else 0,
-        stalled=further.choice((0, 0, 3)),
-        hurried=further.choice((0.0, 0.05)),
+        idle=random.randint(120, 260) if has_idle_clients else 0,
+        stalled=further_random.choice((0, 0, 3)),
+        hurried=further_random.choice((0.0, 0.05)),
     )
     discovery = Discovery(
         mode=random.choice(("pushed", "on_request")), notice=0.05, ask_within=random.choice((2.0, 5.0, 10.0))
@@ -57,25 +57,25 @@
     )
     return Scenario(
         name=f"soak-{seed}",
-        seconds=SECONDS,
+        seconds=LOAD_SECONDS,
         hosts=[Kind(count=HOSTS, zones=["a", "b"])],
         load=load,
-        rules=Rules(drain_grace=random.choice((0.3, 0.5)), answer_late=ANSWER_LATE),
+        rules=Rules(drain_grace=random.choice((0.3, 0.5)), answer_late=LATE_ANSWER_S),
         discovery=discovery,
         proxies=PROXIES,
         seed=seed,
         system_calls=chances,
-        connect_timeout=further.choice((0.25, 1.5)),
-        keepalive=further.choice((0.5, 30.0)),
-        faults=faults_of_day(random) + further_faults(further, discovery.mode),
+        connect_timeout=further_random.choice((0.25, 1.5)),
+        keepalive=further_random.choice((0.5, 30.0)),
+        faults=base_faults(random) + further_faults(further_random, discovery.mode),
     )
 
 
-def faults_of_day(random: Random) -> list:
-    """Of discovery, of hosts and of proxies; what a proxy suffers begins after the one before is over."""
-    found = []
+def base_faults(random: Random) -> list:
+    """Faults of discovery, hosts and proxies, and wall clocks that are wrong from the start."""
+    drawn_faults = []
     if random.random() < 0.8:
-        found.append(
+        drawn_faults.append(
             faults.DiscoveryFails(
                 at=random.uniform(0, 3),
                 lasts=random.uniform(0.5, 5),
@@ -84,71 +84,84 @@
             )
         )
     if random.random() < 0.5:
-        found.append(
+        drawn_faults.append(
             faults.Watches(
-                at=random.uniform(0, FAULTS), silent=random.random() < 0.7, more=random.randint(0, 1)
+                at=random.uniform(0, FAULT_SECONDS), silent=random.random() < 0.7, more=random.randint(0, 1)
             )
         )
     for proxy in range(PROXIES):
-        found += of_proxy(random, proxy)
+        drawn_faults += proxy_faults(random, proxy)
     hosts = random.sample(range(HOSTS), 5)
-    found.append(faults.Drain(at=random.uniform(1, FAULTS), lasts=60, hosts=hosts[: random.randint(1, 2)]))
+    drawn_faults.append(
+        faults.Drain(at=random.uniform(1, FAULT_SECONDS), lasts=60, hosts=hosts[: random.randint(1, 2)])
+    )
     kinds = (faults.Silent, faults.Errors, faults.LoseAnswers, faults.Kill, faults.Slow)
     for number in range(2, random.randint(3, 4)):
-        found.append(
+        drawn_faults.append(
             random.choice(kinds)(
-                at=random.uniform(0, FAULTS), lasts=random.uniform(0.5, 4), hosts=hosts[number : number + 1]
+                at=random.uniform(0, FAULT_SECONDS),
+                lasts=random.uniform(0.5, 4),
+                hosts=hosts[number : number + 1],
             )
         )
     if random.random() < 0.4:
-        found.append(
+        drawn_faults.append(
             faults.ClockFault(
-                at=0, lasts=60, ahead=random.choice(CLOCKS_OFF), proxies=random.sample(range(PROXIES), 2)
+                at=0,
+                lasts=60,
+                ahead=random.choice(WALL_CLOCK_OFFSETS_S),
+                proxies=random.sample(range(PROXIES), 2),
             )
         )
-    return found
+    return drawn_faults
 
 
 def further_faults(random: Random, mode: str) -> list:
-    """Of connections to endpoints, of answers, and of lists; each of some endpoints, for a while."""
-    found = []
+    """Faults of connections to hosts, of answers and of host lists, each for a limited time."""
+    drawn_faults = []
 
-    def some() -> dict:
+    def common_fields() -> dict:
         return {
-            "at": random.uniform(0, FAULTS),
+            "at": random.uniform(0, FAULT_SECONDS),
             "lasts": random.uniform(1.0, 6.0),
             "hosts": random.sample(range(HOSTS), random.randint(1, 4)),
         }
 
     if random.random() < 0.6:
-        how = random.choice(("closes", "resets", "forgets"))
-        found.append(faults.Resting(how=how, after=random.choice((0.0, 0.02, 0.1)), **some()))
+        method = random.choice(("closes", "resets", "forgets"))
+        drawn_faults.append(
+            faults.Resting(how=method, after=random.choice((0.0, 0.02, 0.1)), **common_fields())
+        )
     if random.random() < 0.5:
-        how = random.choice(("short", "reset", "garbage", "twice"))
-        found.append(faults.SpoilAnswers(how=how, share=random.uniform(0.05, 0.6), **some()))
+        method = random.choice(("short", "reset", "garbage", "twice"))
+        drawn_faults.append(
+            faults.SpoilAnswers(how=method, share=random.uniform(0.05, 0.6), **common_fields())
+        )
     if random.random() < 0.5:
-        found.append(faults.LateConnections(**some()))
+        drawn_faults.append(faults.LateConnections(**common_fields()))
     if random.random() < 0.6:
-        hows = ("ends", "whole") if mode == "pushed" else ("ends", "whole", "spoilt")
-        at, lasts = random.uniform(0, FAULTS), random.uniform(1.0, 5.0)
-        found.append(faults.Lists(at=at, lasts=lasts, how=random.choice(hows)))
-    return found
+        methods = ("ends", "whole") if mode == "pushed" else ("ends", "whole", "spoilt")
+        at, lasts = random.uniform(0, FAULT_SECONDS), random.uniform(1.0, 5.0)
+        drawn_faults.append(faults.Lists(at=at, lasts=lasts, how=random.choice(methods)))
+    return drawn_faults
 
 
-def of_proxy(random: Random, proxy: int) -> list:
-    """New start-up files in a row, and then the end, in any order and overlapping."""
-    found, at = [], random.uniform(0.5, FAULTS / 2)
+def proxy_faults(random: Random, proxy: int) -> list:
+    """Repeated reconfiguration, termination or kill, and pauses of one proxy; they may overlap."""
+    drawn_faults, at = [], random.uniform(0.5, FAULT_SECONDS / 2)
     if random.random() < 0.6:
-        found.append(
+        drawn_faults.append(
             faults.Reconfigure(
                 at=at, lasts=random.uniform(0.2, 2.0), proxies=[proxy], times=random.randint(1, 6)
             )
         )
     if random.random() < 0.5:
-        found.append(faults.Terminate(at=at + random.uniform(0, 2.5), lasts=RESTARTED, proxies=[proxy]))
+        drawn_faults.append(
+            faults.Terminate(at=at + random.uniform(0, 2.5), lasts=RESTART_DELAY_S, proxies=[proxy])
+        )
     elif random.random() < 0.3:
-        found.append(faults.KillProxy(at=at + random.uniform(0, 2.5), lasts=1.0, proxies=[proxy]))
+        drawn_faults.append(faults.KillProxy(at=at + random.uniform(0, 2.5), lasts=1.0, proxies=[proxy]))
     for _ in range(random.randint(0, 3)):
-        begins = random.uniform(0, FAULTS)
-        found.append(faults.Pause(at=begins, lasts=random.uniform(0.02, 0.15), proxies=[proxy]))
-    return found
+        start_time = random.uniform(0, FAULT_SECONDS)
+        drawn_faults.append(faults.Pause(at=start_time, lasts=random.uniform(0.02, 0.15), proxies=[proxy]))
+    return drawn_faults
--- a/basalthook/lab/syscalls.py
+++ b/basalthook/lab/syscalls.py
@@ -1,6 +1,6 @@
-"""System calls that fail as Linux documents them, by chance, under the program's own sockets.
+"""Random failures of socket system calls, with the errors that Linux documents.
 
-For `underclock`, which starts the program: `install` replaces `socket.socket` in its process alone.
+Used by `underclock`, which starts the program: `install` replaces `socket.socket` in that process only.
 """
 
 import errno
@@ -11,73 +11,73 @@
 import msgspec
 
 ENVIRONMENT_VARIABLE = "BASALTHOOK_LAB_SYSCALLS"
-ACCEPT = (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
-CREATE = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-CONNECT = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN)
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
+ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
+CREATE_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN)
+READ_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 
 
 class Chances(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Share of calls that fail, or that do less than was asked for."""
+    """Probabilities that a call fails or transfers fewer bytes than requested."""
 
     accept: float = 0.0
     create: float = 0.0
     connect: float = 0.0
-    short: float = 0.0  # of reads and writes
-    broken: float = 0.0  # of reads from an endpoint or discovery: the connection is lost
+    short: float = 0.0  # reads and writes
+    broken: float = 0.0  # reads from a host or discovery; the connection is lost
     seed: int = 1
 
 
 def faulty_socket_class(chances: Chances) -> type[socket.socket]:
-    """A class for `socket.socket`; only IPv4 stream sockets fail."""
-    random, real = Random(f"system calls {chances.seed}"), socket.socket
+    """Returns a replacement for `socket.socket`; creation fails for IPv4 sockets only."""
+    random, real_class = Random(f"system calls {chances.seed}"), socket.socket
 
-    def fail(share: float, codes: tuple[int, ...]) -> None:
+    def raise_by_chance(share: float, error_numbers: tuple[int, ...]) -> None:
         if share and random.random() < share:
-            code = random.choice(codes)
-            raise OSError(code, os.strerror(code))
+            error_number = random.choice(error_numbers)
+            raise OSError(error_number, os.strerror(error_number))
 
-    class FaultySocket(real):
-        outgoing = False  # what breaks a client's connection is its own
+    class FaultySocket(real_class):
+        outgoing = False  # only connections that the program opened are broken
 
         def __init__(self, family=-1, type=-1, proto=-1, fileno=None):
             if fileno is None and family == socket.AF_INET:
-                fail(chances.create, CREATE)
+                raise_by_chance(chances.create, CREATE_ERRORS)
             super().__init__(family, type, proto, fileno)
 
         def accept(self):
-            fail(chances.accept, ACCEPT)
+            raise_by_chance(chances.accept, ACCEPT_ERRORS)
             return super().accept()
 
         def connect(self, address):
-            fail(chances.connect, CONNECT)
+            raise_by_chance(chances.connect, CONNECT_ERRORS)
             self.outgoing = True
             return super().connect(address)
 
-        def recvmsg_into(self, buffers, *more):
+        def recvmsg_into(self, buffers, *args):
             if self.outgoing and chances.broken and random.random() < chances.broken:
                 self.shutdown(socket.SHUT_RDWR)
-                fail(1.0, BROKEN)
+                raise_by_chance(1.0, READ_ERRORS)
             if chances.short and random.random() < chances.short:
                 buffers = [memoryview(buffers[0])[: random.randint(1, 40)]]
-            return super().recvmsg_into(buffers, *more)
+            return super().recvmsg_into(buffers, *args)
 
-        def sendmsg(self, parts, *more):
-            return super().sendmsg(self.cut(parts), *more)
+        def sendmsg(self, parts, *args):
+            return super().sendmsg(self.shorten(parts), *args)
 
-        def send(self, data, *more):
-            return super().send(self.cut([data])[0], *more)
+        def send(self, data, *args):
+            return super().send(self.shorten([data])[0], *args)
 
-        def cut(self, parts):
-            """The first part, or as much of it as is written at once."""
+        def shorten(self, parts):
+            """Returns all parts, or by chance a prefix of the first, for a short write."""
             if not chances.short or random.random() >= chances.short:
                 return parts
-            whole = memoryview(parts[0]).cast("B")
-            return [whole[: random.randint(1, max(1, len(whole)))]]
+            data = memoryview(parts[0]).cast("B")
+            return [data[: random.randint(1, max(1, len(data)))]]
 
     return FaultySocket
 
 
-def install(worded: str) -> None:
-    """By the variable's value, JSON of `Chances`."""
-    socket.socket = faulty_socket_class(msgspec.json.decode(worded, type=Chances))
+def install(encoded: str) -> None:
+    """Installs the faulty socket class; `encoded` is `Chances` as JSON, the value of the variable."""
+    socket.socket = faulty_socket_class(msgspec.json.decode(encoded, type=Chances))
--- a/basalthook/lab/underclock.py
+++ b/basalthook/lab/underclock.py
@@ -1,8 +1,8 @@
-"""Starts the program with clocks and system calls of the lab's: `python -m basalthook.lab.underclock serve`.
+"""Starts the program with faulty clocks and system calls: `python -m basalthook.lab.underclock serve`.
 
-The variable of the clocks has one entry a fault: from and until, in nanoseconds of the machine's monotonic
-clock, by how many seconds the wall clock is ahead meanwhile, and the rate of the monotonic one. Nothing else
-reads it.
+The environment variable for the clocks has one entry per fault: start and end in nanoseconds of the machine's
+monotonic clock, the seconds by which the wall clock is ahead in between, and the rate of the monotonic clock.
+Only this module reads it.
 """
 
 import os
@@ -20,24 +20,24 @@
 
 
 class FaultyClocks:
-    """A monotonic clock may run at another rate and never jumps; a wall clock jumps."""
+    """Clocks with the encoded faults: the monotonic clock changes its rate, the wall clock jumps."""
 
-    def __init__(self, worded_: str) -> None:
+    def __init__(self, encoded: str) -> None:
         self.faults = []
-        for entry in worded_.split(";"):
-            begin, end, ahead, rate = entry.split(",")
-            self.faults.append((int(begin), int(end), float(ahead), float(rate)))
+        for entry in encoded.split(";"):
+            start, end, ahead, rate = entry.split(",")
+            self.faults.append((int(start), int(end), float(ahead), float(rate)))
 
     def monotonic_ns(self) -> int:
         now = time.monotonic_ns()
         return now + int(
-            sum((min(now, end) - begin) * (rate - 1) for begin, end, _, rate in self.faults if now > begin)
+            sum((min(now, end) - start) * (rate - 1) for start, end, _, rate in self.faults if now > start)
         )
 
     def wall_ns(self) -> int:
         now = time.monotonic_ns()
         return time.time_ns() + sum(
-            int(ahead * 1e9) for begin, end, ahead, _ in self.faults if begin <= now < end
+            int(ahead * 1e9) for start, end, ahead, _ in self.faults if start <= now < end
         )
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What is harmless at one proxy and harmful at forty: stories of a whole fleet in the lab's virtual time."""
+"""Faults that are harmless with one proxy and harmful with many, in simulated fleets in virtual time."""
 
 import subprocess
 import sys
@@ -19,10 +19,12 @@
 RULES = s.Rules(drain_grace=0.5, cold_share=0.2, cold_time=20.0, fall_multiple=2.5, fall_time=3.0)
 
 
-def fleet(count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **k):
-    """Hosts of one core that turn slower with eight held until they have rested."""
+def simulate(
+    count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **k
+):
+    """Runs a simulated fleet of hosts with one core that slow down from eight attempts in progress on."""
     kinds = [s.Kind(count, cores=1, choke=8, zones=["a", "b"])]
-    told = s.Scenario(
+    scenario = s.Scenario(
         "story",
         seconds,
         kinds,
@@ -35,71 +37,80 @@
         seed=seed,
         **k,
     )
-    run = decisions.SimulatedFleet(told, seed)
+    run = decisions.SimulatedFleet(scenario, seed)
     run.run()
-    return run, found(told, run.wire, decisions.START_TIME, "decisions", digest=run.digest.hexdigest())
+    return run, found(scenario, run.wire, decisions.START_TIME, "decisions", digest=run.digest.hexdigest())
 
 
-def hops(run, hosts, begin=0.0, end=99.0):
+def attempts_at(run, hosts, begin=0.0, end=99.0):
     return sum(
         isinstance(e, Got) and e.host in hosts and begin <= e.at - decisions.START_TIME < end
         for e in run.wire
     )
 
 
-class Stories(unittest.TestCase):
-    def test_six_jammed_hosts_of_sixty_neither_stop_the_fleet_nor_go_on_drawing(self):
-        """Forty proxies met each of them every few seconds, saw it late, and rolled back at sound hosts."""
-        jammed = list(range(6))
-        run, result = fleet(faults=[faults.Slow(at=0, hosts=jammed, lasts=99, factor=12.0)], seed=2)
-        asked = sum(result.verdict.answers.values())
+class SimulatedFleets(unittest.TestCase):
+    def test_six_overloaded_hosts_of_sixty_neither_stop_the_fleet_nor_attract_traffic(self):
+        """Each of forty proxies met a slow host only every few seconds, detected it late, and rolled back
+        transactions at sound hosts.
+        """
+        slow_hosts = list(range(6))
+        run, result = simulate(faults=[faults.Slow(at=0, hosts=slow_hosts, lasts=99, factor=12.0)], seed=2)
+        answer_count = sum(result.verdict.answers.values())
         self.assertGreater(result.verdict.service, 0.85)
-        self.assertLess(result.verdict.answers["rolled_back"], 0.08 * asked)
-        self.assertLess(hops(run, jammed, 6), 0.4 * hops(run, range(6, 12), 6))
+        self.assertLess(result.verdict.answers["rolled_back"], 0.08 * answer_count)
+        self.assertLess(attempts_at(run, slow_hosts, 6), 0.4 * attempts_at(run, range(6, 12), 6))
 
-    def test_six_in_ten_replaced_and_the_fresh_get_what_they_can_carry(self):
-        replaced = list(range(36))
-        run, result = fleet(
+    def test_replaced_hosts_get_the_load_that_they_can_carry_when_cold(self):
+        replaced_hosts = list(range(36))
+        run, result = simulate(
             rate=900,
             seconds=18,
-            faults=[faults.Kill(at=6, hosts=replaced, lasts=0.2)],
+            faults=[faults.Kill(at=6, hosts=replaced_hosts, lasts=0.2)],
             discovery=s.Discovery(notice=0.05),
         )
         self.assertTrue(result.verdict.kept, result.verdict.first)
-        self.assertGreater(hops(run, replaced, 6.5, 18) / 11.5, 0.25 * hops(run, replaced, 0, 6) / 6)
+        self.assertGreater(
+            attempts_at(run, replaced_hosts, 6.5, 18) / 11.5,
+            0.25 * attempts_at(run, replaced_hosts, 0, 6) / 6,
+        )
 
-    def test_each_proxy_pays_a_vanished_host_ever_more_seldom(self):
-        gone = list(range(0, HOSTS, 2))
-        run, result = fleet(rate=600, faults=[faults.Vanish(at=3, hosts=gone, lasts=99)])
+    def test_each_proxy_tries_a_vanished_host_ever_more_rarely(self):
+        vanished_hosts = list(range(0, HOSTS, 2))
+        run, result = simulate(rate=600, faults=[faults.Vanish(at=3, hosts=vanished_hosts, lasts=99)])
         self.assertGreater(result.verdict.service, 0.8)
         self.assertGreater(len(run.unreachable_attempts), 0)
         self.assertLess(
             max(run.unreachable_attempts.values()), 12
-        )  # what was under way when the first one failed
+        )  # attempts in flight when the first one failed
         self.assertLess(sum(run.unreachable_attempts.values()) / len(run.unreachable_attempts), 3.0)
 
-    def test_list_calls_are_spread_also_when_most_of_them_fail(self):
-        run, _ = fleet(rate=100, seconds=20, discovery=s.Discovery(mode="on_request", fails=0.7, notice=0.1))
+    def test_list_calls_are_spread_even_if_most_of_them_fail(self):
+        run, _ = simulate(
+            rate=100, seconds=20, discovery=s.Discovery(mode="on_request", fails=0.7, notice=0.1)
+        )
         calls = Counter(int(e.at) for e in run.wire if isinstance(e, Called))
-        self.assertGreaterEqual(sum(calls.values()), 40)  # every proxy has asked
-        self.assertLessEqual(max(calls.values()), 20)  # half of them in a second, at most
+        self.assertGreaterEqual(sum(calls.values()), 40)  # every proxy has called
+        self.assertLessEqual(max(calls.values()), 20)  # at most half of the proxies in one second
 
-    def test_a_wrong_number_of_proxies_is_borne(self):
-        for told in (1, 4, 400):
-            _, result = fleet(12, rate=120, seconds=6, proxies=8, discovery=s.Discovery(told_proxies=told))
+    def test_a_wrongly_configured_number_of_proxies_does_little_harm(self):
+        for known_proxies in (1, 4, 400):
+            _, result = simulate(
+                12, rate=120, seconds=6, proxies=8, discovery=s.Discovery(told_proxies=known_proxies)
+            )
             self.assertGreater(result.verdict.service, 0.9)
 
     def test_every_transaction_has_one_answer_in_an_overload(self):
-        run, result = fleet(10, rate=900, seconds=4, proxies=10)
+        run, result = simulate(10, rate=900, seconds=4, proxies=10)
         self.assertTrue(result.verdict.kept, result.verdict.first)
         self.assertFalse(run.open_transactions)
         self.assertFalse(run.attempt_counts)
         self.assertGreater(result.verdict.answers["rolled_back"], 0)
 
-    def test_a_cold_host_at_an_idle_fleet_is_not_rested_for_being_cold(self):
-        """Its answers were three times as slow as a warm one's, so it rested, still when it was warm."""
+    def test_a_cold_host_in_an_idle_fleet_is_not_suspended_for_slow_answers(self):
+        """A cold host answered three times as slowly as a warm one and was suspended even when warm again."""
         for seed in range(3):
-            run, _ = fleet(
+            run, _ = simulate(
                 6,
                 rate=40,
                 seconds=30,
@@ -108,10 +119,15 @@
                 faults=[faults.Kill(at=4, hosts=[0], lasts=1)],
                 rules=msgspec.structs.replace(RULES, cold_time=8.0, fall_time=2.0),
             )
-            self.assertGreater(hops(run, [0], 14, 30), 0.5 * hops(run, [1, 2, 3, 4, 5], 14, 30) / 5)
+            self.assertGreater(
+                attempts_at(run, [0], 14, 30), 0.5 * attempts_at(run, [1, 2, 3, 4, 5], 14, 30) / 5
+            )
 
     def test_the_same_seed_gives_the_same_run_in_any_process(self):
-        code = "from tests.test_fleet import fleet; print(fleet(8, rate=80, seconds=2, proxies=5)[1].digest)"
+        code = (
+            "from tests.test_fleet import simulate; "
+            "print(simulate(8, rate=80, seconds=2, proxies=5)[1].digest)"
+        )
         digests = {
             subprocess.run(
                 [sys.executable, "-c", code],
@@ -122,12 +138,14 @@
             ).stdout
             for seed in ("1", "2")
         }
-        self.assertEqual(digests, {fleet(8, rate=80, seconds=2, proxies=5)[1].digest + "\n"})
-        self.assertNotEqual(fleet(8, rate=80, seconds=2, proxies=5, seed=2)[1].digest + "\n", digests.pop())
+        self.assertEqual(digests, {simulate(8, rate=80, seconds=2, proxies=5)[1].digest + "\n"})
+        self.assertNotEqual(
+            simulate(8, rate=80, seconds=2, proxies=5, seed=2)[1].digest + "\n", digests.pop()
+        )
 
 
-class OwnGuards(unittest.TestCase):
-    """Each rule holds by its own guard: cold hosts in a storm, with each other defence out in turn."""
+class IndependentDefences(unittest.TestCase):
+    """Cold hosts in a retry storm are protected by one guard, with each other defence disabled in turn."""
 
     DEFENCES = {
         "at_limit": lambda self: False,
@@ -138,21 +156,21 @@
     }
 
     def storm(self):
-        """A hundred proxies, five hops each a second; near half of the hosts fail, two are cold."""
+        """100 proxies with five requests a second each; of 12 hosts five fail and two are cold."""
         storm = [
             faults.Kill(at=4, hosts=[0, 1], lasts=0.5),
             faults.Errors(at=5, hosts=[2, 3, 4, 5, 6], lasts=9, share=1),
         ]
         rules = msgspec.structs.replace(RULES, cold_share=0.1, fall_multiple=3.0)
-        _, result = fleet(12, rate=500, seconds=10, proxies=100, keys=300, rules=rules, faults=storm)
+        _, result = simulate(12, rate=500, seconds=10, proxies=100, keys=300, rules=rules, faults=storm)
         return result.verdict
 
-    def test_cold_hosts_are_not_pushed_over_with_any_other_defence_out(self):
-        for name, without in self.DEFENCES.items():
-            with self.subTest(name), patch.object(Hosts, name, without):
+    def test_cold_hosts_are_not_overloaded_with_any_other_defence_disabled(self):
+        for name, replacement in self.DEFENCES.items():
+            with self.subTest(name), patch.object(Hosts, name, replacement):
                 self.assertEqual(self.storm().rules["pushed_over"], 0)
 
-    def test_without_its_guard_they_are(self):
+    def test_cold_hosts_are_overloaded_without_the_guard(self):
         with patch.object(Hosts, "admits", lambda self, tx, server: self.is_eligible(tx, server.entry)):
             self.assertGreater(self.storm().rules["pushed_over"], 0)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Twelve real processes, every way between them through the rig, and faults on it: verdicts, not timings."""
+"""Fleets of real proxy processes in the lab, with faults on the links between them; fleet files."""
 
 import asyncio
 import ipaddress
@@ -22,7 +22,7 @@
 from basalthook.lab.wire import Told
 from basalthook.membership import wire
 
-BASE = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
+BASE_SCENARIO = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
 SILENT = "[[faults]]\nwhat = 'silent'\nat = 2\nlasts = 6\nhosts = [0, 1, 2]\n"
 LOSSY = """[[faults]]
 what = "lossy"
@@ -37,35 +37,37 @@
 """
 
 
-class Leaving(unittest.TestCase):
-    def test_leaving_hosts_are_left_while_watches_are_reset_or_silent_however_the_list_comes(self):
-        # guards against a pushed list that nobody follows any more once a watch has broken, and against one
-        # that is asked for anew only after its news has counted
-        day = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
+class DrainingHosts(unittest.TestCase):
+    def test_draining_hosts_get_nothing_while_watches_are_reset_or_silent_in_both_discovery_modes(self):
+        # After a broken watch a proxy did not follow a pushed list any more, or called again only after the
+        # change had become binding.
+        scenario_text = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
         for mode in ("pushed", "on_request"):
             rig = []
-            result = processes.play(scenario.parse(day.replace("pushed", mode), "leaving.toml"), rig)
+            result = processes.play(
+                scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rig
+            )
             self.assertEqual((result.faults, result.verdict.first), ([], None))
             self.assertGreater(result.verdict.service, 0.95)
             drained = [e for e in rig[0].wire if isinstance(e, Told) and e.state == "draining"]
             self.assertEqual(len({(e.host, e.proxy) for e in drained}), 3 * 6)
 
 
-class Alone(unittest.TestCase):
-    def test_proxies_end_with_a_lab_that_is_killed(self):
-        # guards against proxies left behind, which call ports that other runs have been given since
+class LabProcesses(unittest.TestCase):
+    def test_proxies_end_when_the_lab_is_killed(self):
+        # Proxies that outlive the lab call ports that other runs have been given since.
         call = [sys.executable, "-m", "basalthook", "lab", "soak", "--first", "1", "--count", "1"]
-        lab = subprocess.Popen(call, stdout=subprocess.DEVNULL)
-        self.addCleanup(lab.kill)
-        children = Path(f"/proc/{lab.pid}/task/{lab.pid}/children")
-        until, proxies = time.monotonic() + 20, []
-        while len(proxies) < 4 and time.monotonic() < until:
+        lab_process = subprocess.Popen(call, stdout=subprocess.DEVNULL)
+        self.addCleanup(lab_process.kill)
+        children = Path(f"/proc/{lab_process.pid}/task/{lab_process.pid}/children")
+        deadline, proxies = time.monotonic() + 20, []
+        while len(proxies) < 4 and time.monotonic() < deadline:
             time.sleep(0.05)
             proxies = children.read_text().split()
         self.assertEqual(len(proxies), 4)
-        lab.kill()
-        lab.wait()
-        while any(Path("/proc", pid).exists() for pid in proxies) and time.monotonic() < until:
+        lab_process.kill()
+        lab_process.wait()
+        while any(Path("/proc", pid).exists() for pid in proxies) and time.monotonic() < deadline:
             time.sleep(0.05)
         self.assertFalse([pid for pid in proxies if Path("/proc", pid, "exe").exists()])
 
@@ -75,20 +77,24 @@
         self.assertTrue(all(ipaddress.ip_address(address).is_loopback for address in list(addresses)[:999]))
 
 
-class Together(unittest.TestCase):
+class ProxyFleets(unittest.TestCase):
     def play(self, *faults, seconds=13):
-        """The rig after its run, and the result; in each the four rules hold and nothing old is acted on."""
-        head, shares, rig = BASE[: BASE.index("[[faults]]")], BASE[BASE.index("[fleet]") :], []
+        """Runs 12 proxies with silent hosts and `faults`; checks the rules and that no old fact was used."""
+        head, shares, rig = (
+            BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
+            BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
+            [],
+        )
         head = head.replace("proxies = 60", "proxies = 12").replace("seconds = 50", f"seconds = {seconds}")
-        told = scenario.parse("\n".join((head, SILENT, *faults, shares)), "day.toml")
-        result = processes.play(told, rig)
+        parsed_scenario = scenario.parse("\n".join((head, SILENT, *faults, shares)), "day.toml")
+        result = processes.play(parsed_scenario, rig)
         self.assertEqual(result.faults, [])
         self.assertTrue(result.verdict.kept, result.verdict.first)
         self.assertEqual((result.talk["over_age"], result.talk["younger"]), (0, 0))
         return rig[0], result
 
-    def test_no_host_is_over_its_places_whoever_of_the_voters_dies_or_stands_still(self):
-        head = BASE[: BASE.index("[[faults]]")].replace("proxies = 60", "proxies = 12")
+    def test_no_host_exceeds_its_places_when_voters_are_killed_or_stopped(self):
+        head = BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")].replace("proxies = 60", "proxies = 12")
         faults = (
             "[[faults]]\nwhat = 'kill_proxy'\nat = 5\nlasts = 1\nproxies = [0]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 8\nlasts = 3\nproxies = [1, 5]\n",
@@ -97,32 +103,34 @@
             "[fleet]\nshares = ['limits', 'verdicts']\n[[fleet.limits]]\nname = 'places'\n"
             "kind = 'host'\namount = 3\nfloor = 0.34\n",
         )
-        told = scenario.parse("\n".join((head.replace("seconds = 50", "seconds = 13"), *faults)), "day.toml")
-        result = processes.play(told)
+        parsed_scenario = scenario.parse(
+            "\n".join((head.replace("seconds = 50", "seconds = 13"), *faults)), "day.toml"
+        )
+        result = processes.play(parsed_scenario)
         self.assertEqual((result.faults, result.talk["limits"]["places"]["over_most"]), ([], 0.0))
         self.assertTrue(result.verdict.kept, result.verdict.first)
         self.assertGreater(result.verdict.service, 0.5)
 
-    def out(self, rig):
+    def hosts_out(self, rig):
         return {
             (fields["id"], n)
             for _, n, event, fields in rig.log_events
             if event == "verdict" and fields["state"] == OUT
         }
 
-    def test_silent_hosts_are_out_for_all_while_datagrams_are_lost_doubled_late_and_spoilt(self):
+    def test_silent_hosts_are_out_everywhere_with_lost_doubled_late_and_corrupted_datagrams(self):
         rig, result = self.play(LOSSY)
-        self.assertEqual({host for host, _ in self.out(rig)}, {"host-0", "host-1", "host-2"})
-        self.assertGreater(len(self.out(rig)), 30)
+        self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
+        self.assertGreater(len(self.hosts_out(rig)), 30)
         self.assertGreater(result.verdict.service, 0.95)
         self.assertIsNotNone(result.recovery[0])
 
-    def test_halves_cut_apart_and_clocks_an_hour_ahead_agree_again(self):
+    def test_members_agree_again_after_a_partition_with_clocks_an_hour_ahead(self):
         rig, result = self.play(
             "[[faults]]\nwhat = 'cut'\nat = 1\nlasts = 5\nbetween = [['p0-5'], ['p6-11']]\n",
             "[[faults]]\nwhat = 'clock'\nat = 0\nlasts = 6\nahead = 3600\nrate = 1.02\nproxies = [1, 2, 8]\n",
         )
-        self.assertEqual({host for host, _ in self.out(rig)}, {"host-0", "host-1", "host-2"})
+        self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         last = {}
         for _, n, event, fields in rig.log_events:
             if event == "member" and _ < rig.begin_at + 13:
@@ -130,17 +138,17 @@
         self.assertEqual({state for state in last.values()}, {"alive"})
         self.assertGreater(result.verdict.service, 0.95)
 
-    def test_some_killed_some_stopped_for_longer_than_a_life_and_the_rest_serve(self):
+    def test_the_rest_serve_while_some_are_killed_and_some_stopped_for_longer_than_a_fact_lives(self):
         rig, result = self.play(
             "[[faults]]\nwhat = 'kill_proxy'\nat = 2.4\nlasts = 2\nproxies = [0, 1, 2]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 2.6\nlasts = 4\nproxies = [5, 6]\n",
         )
-        self.assertEqual({host for host, _ in self.out(rig)}, {"host-0", "host-1", "host-2"})
+        self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         self.assertGreater(result.verdict.service, 0.95)
         ready = sum(event == "ready" for _, _, event, _ in rig.log_events)
         self.assertEqual(ready, 15)
 
-    def test_a_planted_word_told_younger_than_it_is_is_seen_by_the_relays(self):
+    def test_relays_detect_a_fact_sent_with_too_low_an_age(self):
         now = 0.0
         relays = Relays(2, Links(1, 2, 0), lambda: now, 1)
         for now, age in ((0.0, 100), (1.0, 10_100), (2.0, 15_000)):
@@ -148,69 +156,71 @@
             relays.inspect(0, wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), now)
             self.assertEqual(len(relays.too_young_facts), int(now == 2.0))
 
-    def test_a_fact_told_younger_than_at_its_question_is_seen_and_a_slow_answer_to_one_is_not(self):
+    def test_relays_detect_an_age_below_that_at_the_request_and_accept_a_slow_answer(self):
         relays = Relays(2, Links(1, 2, 0), float, 1)
-        born = 0.0
+        published_at = 0.0
         for nonce, asked_at, age, found in ((1, 0.5, 0.5, 0), (2, 1.0, 1.0, 0), (3, 1.5, 1.4, 1)):
             relays.inspect(1, wire.encode(b"k" * 16, [FETCH, "p1", nonce, []]), asked_at)
             fact = Fact("p0", 1, "host", "x", 1, (), int(age * 10_000))
             answered_at = asked_at if nonce == 1 else asked_at + 4.0
             relays.inspect(0, wire.encode(b"k" * 16, [FACTS, "p0", nonce, [list(fact)]]), answered_at)
             self.assertEqual(len(relays.too_young_facts), found)
-        self.assertEqual(list(relays.first_published.values()), [born])
+        self.assertEqual(list(relays.first_published.values()), [published_at])
 
 
-class Late(unittest.IsolatedAsyncioTestCase):
-    async def test_a_lab_process_that_reads_late_takes_no_fact_for_younger_than_it_is(self):
+class LateLabProcess(unittest.IsolatedAsyncioTestCase):
+    async def test_a_lab_process_that_reads_late_judges_ages_correctly(self):
         relays = Relays(2, Links(1, 2, 0), asyncio.get_running_loop().time, 1)
         await relays.open()
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
                 member.bind(relays.member_addresses[0])
-                await asyncio.sleep(0.1)  # until the system stamps what comes in
-                born = time.monotonic()
-                for late in (0.0, 0.15, 0.15):
-                    age = int((time.monotonic() - born) * 10_000)
+                await asyncio.sleep(0.1)  # until the kernel adds receive time stamps
+                published_at = time.monotonic()
+                for delay in (0.0, 0.15, 0.15):
+                    age = int((time.monotonic() - published_at) * 10_000)
                     fact = Fact("p0", 1, "host", "x", 1, (), age)
                     member.sendto(
                         wire.encode(b"k" * 16, [FACTS, "p0", 7, [list(fact)]]), relays.public_addresses[1]
                     )
-                    time.sleep(late)  # blocks the loop that reads it
+                    time.sleep(delay)  # blocks the event loop of the relays
                     await asyncio.sleep(0.02)
         finally:
             relays.close()
         self.assertEqual((relays.sent[0], relays.too_young_facts), (3, []))
 
 
-class Files(unittest.TestCase):
+class FleetFiles(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.key(b"0123456789abcdef")
+        self.write_key(b"0123456789abcdef")
 
-    def key(self, key, mode=0o600):
+    def write_key(self, key, mode=0o600):
         path = self.folder / "key"
         path.unlink(missing_ok=True)
         path.write_bytes(key)
         path.chmod(mode)
 
-    def write(self, **changes):
-        told = {
+    def write_fleet_file(self, **changes):
+        fields = {
             "listen": "127.0.0.1:7946",
             "seeds": ["127.0.0.1:7946"],
             "key_file": "key",
             "shares": ["verdicts"],
             **changes,
         }
-        lives = told.pop("lives", "")
-        text = "".join(f"{name} = {json.dumps(value)}\n" for name, value in told.items())
+        lives = fields.pop("lives", "")
+        text = "".join(f"{name} = {json.dumps(value)}\n" for name, value in fields.items())
         (self.folder / "fleet.toml").write_text(text + lives)
         return str(self.folder / "fleet.toml")
 
-    def test_a_sound_file_and_what_is_wrong_with_others_by_its_place(self):
-        told = fleet_file.read(self.write(lives="[lives]\nhost = 2.5\n"))
-        self.assertEqual((told.lives, told.seeds), ({"host": 2.5, "trial": 10.0}, (("127.0.0.1", 7946),)))
+    def test_a_valid_file_is_read_and_errors_name_the_invalid_field(self):
+        fleet_config = fleet_file.read(self.write_fleet_file(lives="[lives]\nhost = 2.5\n"))
+        self.assertEqual(
+            (fleet_config.lives, fleet_config.seeds), ({"host": 2.5, "trial": 10.0}, (("127.0.0.1", 7946),))
+        )
         for changes, place in (
             ({"listen": "nowhere"}, "$.listen"),
             ({"seeds": ["127.0.0.1:99999"]}, "$.seeds[0]"),
@@ -222,14 +232,14 @@
             ({"lives": "[lives]\nhost = 0\n"}, "$.lives.host"),
         ):
             with self.assertRaisesRegex(fleet_file.FleetFileError, "fleet.toml") as caught:
-                fleet_file.read(self.write(**changes))
+                fleet_file.read(self.write_fleet_file(**changes))
             self.assertIn(place, str(caught.exception))
         for key, mode in ((b"short", 0o600), (b"x" * 80, 0o600), (b"0123456789abcdef", 0o644)):
-            self.key(key, mode)
+            self.write_key(key, mode)
             with self.assertRaisesRegex(fleet_file.FleetFileError, "key_file"):
-                fleet_file.read(self.write())
+                fleet_file.read(self.write_fleet_file())
 
-    def test_a_plain_serve_loads_nothing_of_it_and_a_deployment_that_forbids_talk_refuses(self):
+    def test_fleet_modules_load_only_with_a_fleet_file_and_need_settings_that_allow_peers(self):
         code = (
             "import sys; from basalthook.program import commands, service; "
             "print([n for n in sys.modules if n.split('.')[-1] in ('gossip', 'member', 'msgspec', "
@@ -237,20 +247,24 @@
         )
         self.assertEqual(subprocess.check_output([sys.executable, "-c", code], text=True).strip(), "[]")
         start = Path(__file__).parent.parent / "deploy/start-up.example.json"
-        done = self.run_it("check", "--file", str(start), "--fleet", self.write())
-        self.assertEqual(done.returncode, 2)
-        self.assertIn("settings.allowed.peers", done.stderr)
-        told = json.loads(start.read_text())
-        told["settings"]["allowed"]["peers"] = True
+        completed = self.run_program("check", "--file", str(start), "--fleet", self.write_fleet_file())
+        self.assertEqual(completed.returncode, 2)
+        self.assertIn("settings.allowed.peers", completed.stderr)
+        start_up = json.loads(start.read_text())
+        start_up["settings"]["allowed"]["peers"] = True
         for name, code in (("proxy-1", 0), ("no name", 2), ("x" * 65, 2)):
-            (self.folder / "start.json").write_text(json.dumps({**told, "name": name}))
-            done = self.run_it("check", "--file", str(self.folder / "start.json"), "--fleet", self.write())
-            self.assertEqual(done.returncode, code, done.stderr)
+            (self.folder / "start.json").write_text(json.dumps({**start_up, "name": name}))
+            completed = self.run_program(
+                "check", "--file", str(self.folder / "start.json"), "--fleet", self.write_fleet_file()
+            )
+            self.assertEqual(completed.returncode, code, completed.stderr)
 
-    def run_it(self, *words):
-        return subprocess.run([sys.executable, "-m", "basalthook", *words], capture_output=True, text=True)
+    def run_program(self, *arguments):
+        return subprocess.run(
+            [sys.executable, "-m", "basalthook", *arguments], capture_output=True, text=True
+        )
 
-    def test_operators_see_who_is_a_member_and_one_that_goes_in_order_is_known_gone_at_once(self):
+    def test_operators_see_members_and_an_orderly_exit_is_known_at_once(self):
         start = json.loads((Path(__file__).parent.parent / "deploy/start-up.example.json").read_text())
         start["settings"]["allowed"]["peers"], start["listen"] = True, "127.0.0.1:0"
         start["console"], running, consoles, ports = "127.0.0.1:0", [], [], []
@@ -259,7 +273,7 @@
                 free.bind(("127.0.0.1", 0))
                 ports.append(f"127.0.0.1:{free.getsockname()[1]}")
             (self.folder / "start.json").write_text(json.dumps({**start, "name": name}))
-            told = self.write(listen=ports[-1], seeds=ports[:1])
+            fleet_path = self.write_fleet_file(listen=ports[-1], seeds=ports[:1])
             running.append(
                 subprocess.Popen(
                     [
@@ -270,7 +284,7 @@
                         "--file",
                         str(self.folder / "start.json"),
                         "--fleet",
-                        told,
+                        fleet_path,
                     ],
                     stdout=subprocess.PIPE,
                     text=True,
@@ -284,19 +298,19 @@
 
         def states(want):
             for _ in range(100):
-                rows = self.run_it("members", consoles[0], "--json").stdout.splitlines()
+                rows = self.run_program("members", consoles[0], "--json").stdout.splitlines()
                 found = {row["name"]: row["state"] for row in map(json.loads, rows)}
                 if found == want:
                     break
             return found
 
         self.assertEqual(states({"one": "alive", "two": "alive"}), {"one": "alive", "two": "alive"})
-        self.assertIn("two", self.run_it("members", consoles[0]).stdout)
-        self.assertEqual(self.run_it("verdicts", consoles[0], "--json").stdout, "")
-        self.assertEqual(self.run_it("limits", consoles[0], "--json").stdout, "")
+        self.assertIn("two", self.run_program("members", consoles[0]).stdout)
+        self.assertEqual(self.run_program("verdicts", consoles[0], "--json").stdout, "")
+        self.assertEqual(self.run_program("limits", consoles[0], "--json").stdout, "")
         running[1].terminate()
         self.assertEqual(states({"one": "alive", "two": "dead"}), {"one": "alive", "two": "dead"})
-        self.assertEqual(self.run_it("members", consoles[1]).returncode, 1)
+        self.assertEqual(self.run_program("members", consoles[1]).returncode, 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Drawn days of many faults at once on real processes; by hand `basalthook lab soak` plays many more."""
+"""Random scenarios of many faults on real processes; `basalthook lab soak` runs more of them by hand."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class Soak(unittest.TestCase):
-    def test_all_rules_hold_on_drawn_days_of_many_faults(self):
+    def test_all_rules_hold_in_random_scenarios_of_many_faults(self):
         for seed in (2, 5, 6):
             with self.subTest(seed=seed):
                 result = processes.play(soak.draw_scenario(seed))
