--- a/basalthook/lab/command.py
+++ b/basalthook/lab/command.py
@@ -59,7 +59,7 @@
 def run_soak_day(seed: int, console: Console) -> dict:
     """Runs one day and prints its outcome; if it failed, also how to repeat it and a timeline."""
     rigs: list[processes.Rig] = []
-    result = processes.play(soak.drawn(seed), rigs)
+    result = processes.play(soak.draw_scenario(seed), rigs)
     verdict, passed = result.verdict, result.verdict.passed and not result.faults
     answers = sum(verdict.answers.values())
     console.print(
@@ -75,7 +75,9 @@
         (rig,) = rigs
         lines = [
             str(line)
-            for line in timeline.violation_timeline(verdict.first_violation, rig.wire, rig.said, rig.begin_at)
+            for line in timeline.violation_timeline(
+                verdict.first_violation, rig.wire, rig.log_events, rig.begin_at
+            )
         ]
     for line in lines:
         console.print(f"  {line}", highlight=False, markup=False, soft_wrap=True)
--- a/basalthook/lab/faults.py
+++ b/basalthook/lab/faults.py
@@ -123,10 +123,10 @@
     loses = doubles = reorders = delay = spoils = 0.0
 
     def begin(self, fleet) -> None:
-        fleet.links.begin(self)
+        fleet.links.add_fault(self)
 
     def end(self, fleet) -> None:
-        fleet.links.end(self)
+        fleet.links.remove_fault(self)
 
 
 class Cut(LinkFault, tag="cut"):
@@ -186,7 +186,7 @@
         fleet.stop_proxy(proxy)
 
     def revert(self, fleet, proxy):
-        fleet.go_on_proxy(proxy)
+        fleet.resume_proxy(proxy)
 
 
 class ClockFault(ProxyFault, tag="clock"):
--- a/basalthook/lab/scenario.py
+++ b/basalthook/lab/scenario.py
@@ -203,8 +203,8 @@
         for side, names_of_side in enumerate(getattr(fault, "between", ())):
             for position, name in enumerate(names_of_side):
                 try:
-                    links.ends(name, scenario.proxies, scenario.host_count)
-                except links.BadName as reason:
+                    links.endpoint_names(name, scenario.proxies, scenario.host_count)
+                except links.InvalidEndpointName as reason:
                     at = f"$.faults[{index}].between[{side}][{position}]"
                     raise ScenarioError(f"{path}: {reason} - at `{at}`") from None
     names = [profile.name for profile in scenario.load.profiles]
--- a/basalthook/lab/standins.py
+++ b/basalthook/lab/standins.py
@@ -103,7 +103,7 @@
 
     def deliver(self, source: str, target: str, call, *args) -> None:
         """Calls `call(*args)` when the message has passed the link; never if the link loses it."""
-        delay = self.links.stream(source, target)
+        delay = self.links.message_delay(source, target)
         if delay == 0:
             call(*args)
         elif delay is not None:
