--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -70,7 +70,7 @@
                 self.assertEqual(await caller.status(), 200)
             self.assertEqual((failures, [found for _, found in self.log.failed_attempts()]), ([], [outcome]))
             host_states = self.service.dispatcher.policy.hosts.values()
-            self.assertEqual(any(host.excluded_until for host in host_states), outcome == "unreachable")
+            self.assertEqual(any(state.excluded_until for state in host_states), outcome == "unreachable")
             await self.stop()
 
 
