--- a/basalthook/lab/load.py
+++ b/basalthook/lab/load.py
@@ -103,7 +103,7 @@
             self.clients.wire.append(Answered(now, request.tx, 0, False))
 
 
-class Idle(asyncio.Protocol):
+class SilentConnection(asyncio.Protocol):
     """A connection that sends nothing; another replaces it when it ends."""
 
     def __init__(self, clients: "Clients", proxy: int) -> None:
@@ -118,7 +118,7 @@
         self.clients.schedule_silent_connection(self.proxy, type(self))
 
 
-class Stalled(Idle):
+class StalledConnection(SilentConnection):
     """A connection that sends half a request and nothing more; the proxy has to end it in time."""
 
     def connection_made(self, transport) -> None:
@@ -163,9 +163,9 @@
         self.running = True
         for proxy in range(len(self.addresses)):
             for _ in range(self.load.idle):
-                self.schedule_silent_connection(proxy, Idle)
+                self.schedule_silent_connection(proxy, SilentConnection)
             for _ in range(self.load.stalled):
-                self.schedule_silent_connection(proxy, Stalled)
+                self.schedule_silent_connection(proxy, StalledConnection)
         while (due := due + self.schedule_rng.expovariate(rate(due - begin))) < begin + seconds:
             if (wait := due - self.clock()) > 0:
                 await asyncio.sleep(wait)
@@ -190,7 +190,7 @@
             return min(profile.hard_limit, self.hurry_rng.uniform(*HURRIED_WAIT_S))
         return profile.hard_limit
 
-    def schedule_silent_connection(self, proxy: int, connection_type: type[Idle]) -> None:
+    def schedule_silent_connection(self, proxy: int, connection_type: type[SilentConnection]) -> None:
         """Opens a connection of this kind after a short random delay."""
         if self.running:
             asyncio.get_running_loop().call_later(
@@ -198,7 +198,7 @@
                 lambda: self.start_task(self.open_silent_connection(proxy, connection_type)),
             )
 
-    async def open_silent_connection(self, proxy: int, connection_type: type[Idle]) -> None:
+    async def open_silent_connection(self, proxy: int, connection_type: type[SilentConnection]) -> None:
         try:
             if self.addresses[proxy]:
                 loop = asyncio.get_running_loop()
