--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -141,6 +141,7 @@
             callback(*arguments)
 
     def record(self, entry) -> None:
+        """Appends an event to the wire record and to the digest of the run."""
         self.wire.append(entry)
         self.digest.update(repr(entry).encode())
 
@@ -216,6 +217,7 @@
     # ---- effects of the decision code
 
     def deliver(self, proxy: int, event, life: int | None = None) -> None:
+        """Gives an event to a proxy's decisions, unless it was meant for another process of the proxy."""
         if self.proxies[proxy] is None or life is not None and life != self.lives[proxy]:
             return
         if proxy in self.stopped:
--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -19,6 +19,8 @@
 
 
 class World(NamedTuple):
+    """One state of the search."""
+
     member_states: tuple  # per member: life, silent until, vote, round, valid until, ballots
     sent_messages: frozenset  # (recipient, message): all that were ever sent
     step: int
@@ -26,6 +28,8 @@
 
 
 class Explorer:
+    """Breadth-first search over the states of an election; it is also the random source of its members."""
+
     def __init__(
         self, steps: int = 6, max_ballots: int = 2, restarts: int = 1, election_class=LeaderElection
     ) -> None:
@@ -72,6 +76,7 @@
         return world.step * TICKS_PER_STEP[n]
 
     def successors(self, world: World):
+        """Yields the states after a clock step, a message, a vote request or release, or a restart."""
         if world.step < self.steps:
             yield world._replace(step=world.step + 1)
         for n, message in world.sent_messages:
@@ -98,6 +103,7 @@
                 yield self.world_after(world, n, restarted)._replace(restarts=world.restarts + 1)
 
     def leaders(self, world: World) -> list[str]:
+        """Names of the members whose leadership is valid by their own clocks."""
         return [name for n, name in enumerate(NAMES) if self.clock(world, n) < world.member_states[n][4]]
 
     def run(self, max_states: int = 10**7) -> tuple[int, World | None]:
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -25,13 +25,15 @@
 from ..policy.measure import Allowance
 
 TICK_INTERVAL = 500  # ticks between two ticks of a member
-FAULT_PERIOD, QUIET_PERIOD = 250_000, 130_000
+FAULT_PERIOD, QUIET_PERIOD = 250_000, 130_000  # ticks
 HARD_LIMIT = 4_000  # maximum duration of an attempt in ticks of its proxy's clock
 CLOCK_RATES = 1.0, 1.02, 0.98
 MAX_DATAGRAM_DELAY = 40_000  # ticks; longer than a lease
 
 
 class Violation(NamedTuple):
+    """A broken rule; `at` is in ticks of the simulation."""
+
     rule: str
     at: int
     detail: str
@@ -65,6 +67,8 @@
 
 
 class Member:
+    """One process of a member: its limits, and a fake of the decision code with its demand."""
+
     def __init__(self, schedule: "LeaseSchedule", n: int) -> None:
         self.schedule, self.n, self.name, self.proxy = schedule, n, f"p{n}", FakeDecisions(schedule.hosts)
         self.life, self.transaction_numbers = schedule.lives[n], count()
@@ -130,6 +134,8 @@
 
 
 class LeaseSchedule:
+    """One random schedule of faults and the members that it is run on."""
+
     def __init__(
         self, seed: int, member_class=Member, fault_names: tuple = ("cut", "cut", "bad", "kill", "stop")
     ) -> None:
@@ -182,6 +188,7 @@
             self.violations.append(Violation("over", self.now, f"{self.attempts_by_host[host]} at {host}"))
 
     def check_tokens(self) -> None:
+        """Checks the rule `spent` with a token bucket over all attempts."""
         limit, level, last = self.limits[1], 0.0, 0
         for at in self.attempt_times:
             level = max(0.0, level - limit.amount * (at - last) / 10_000) + 1
@@ -193,6 +200,7 @@
     # ---- the run
 
     def play(self) -> list[Violation]:
+        """Runs the schedule and returns the violations of its rules."""
         random, self.begin = self.random, self.now
         self.end = self.begin + FAULT_PERIOD + QUIET_PERIOD
         for n in range(self.size):
--- a/basalthook/lab/links.py
+++ b/basalthook/lab/links.py
@@ -41,6 +41,8 @@
 
 
 class ActiveFault(NamedTuple):
+    """A fault with the two sets of endpoints that it lies between."""
+
     fault: object
     first: frozenset
     second: frozenset
@@ -76,6 +78,7 @@
         return [active.fault for active in self.faults if active.applies_to(source, target)]
 
     def datagram_outcome(self, source: str, target: str) -> DatagramOutcome:
+        """Draws how the active faults treat one datagram."""
         if not self.faults:
             return DELIVERED
         copies, corrupted, random = [0.0], False, self.random
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -58,6 +58,7 @@
 
 
 def first_attempt_times(wire: list, profiles: set[str]) -> list[float]:
+    """Send times of each transaction's first attempt, for these profiles or for all if there are none."""
     asked = {event.tx: event.profile for event in wire if isinstance(event, Asked)}
     first = {}
     for event in wire:
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -64,7 +64,7 @@
         self.stopped: set[int] = set()
         self.faults: list[dict] = []  # faults that proxies logged, and unexpected exits and output
         self.begin_ns, self.begin_at = 0, 0.0
-        self.wall_ahead = time.time() - clock()  # wall clock minus the rig's clock, seconds
+        self.wall_clock_offset = time.time() - clock()  # wall clock minus the rig's clock, seconds
 
     async def open(self) -> None:
         await super().open()
@@ -73,6 +73,7 @@
     # ---- proxies
 
     def write_files(self, n: int) -> Path:
+        """Writes the start-up file, and the fleet file and key if there is a fleet; returns their folder."""
         folder = self.folder / f"p{n}"
         folder.mkdir(exist_ok=True)
         zones = sorted(set(self.zones))
@@ -113,12 +114,16 @@
         return folder
 
     async def start_process(self, n: int) -> None:
+        """Starts a process of this proxy, under `underclock` if its clocks or system calls have faults."""
         folder = await asyncio.to_thread(self.write_files, n)  # a slow disk must not block the event loop
         self.begins(n)
         environment = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
-        module, clocks = "basalthook", self.clocks_of(n)
-        if clocks:
-            module, environment[CLOCK_VARIABLE] = "basalthook.lab.underclock", encode_clock_faults(clocks)
+        module, clock_faults = "basalthook", self.clock_faults_of(n)
+        if clock_faults:
+            module, environment[CLOCK_VARIABLE] = (
+                "basalthook.lab.underclock",
+                encode_clock_faults(clock_faults),
+            )
         if self.told.system_calls is not None:
             chances = msgspec.structs.replace(self.told.system_calls, seed=self.told.seed * 1000 + n)
             module = "basalthook.lab.underclock"
@@ -142,7 +147,7 @@
         self.readers.add(reader)
         reader.add_done_callback(self.readers.discard)
 
-    def clocks_of(self, n: int) -> list[tuple]:
+    def clock_faults_of(self, n: int) -> list[tuple]:
         """Clock faults for `underclock`; a fault at time 0 already applies while the process starts."""
 
         def moment(at: float) -> int:
@@ -257,6 +262,7 @@
         task.add_done_callback(self.calls.discard)
 
     async def end(self) -> None:
+        """Ends all processes, and records what they wrote to stderr as faults."""
         for process in self.running:
             send_signal(process, signal.SIGCONT)
             send_signal(process, signal.SIGTERM)
@@ -318,7 +324,7 @@
                 and n in fault.proxies
                 and resumed_at <= at < resumed_at + 2 * LOG_READ_DELAY_S
             ):
-                return min(at, fields["at"] - self.wall_ahead)
+                return min(at, fields["at"] - self.wall_clock_offset)
         return at
 
     def was_reachable(self, name: str, at: float) -> bool:
@@ -403,7 +409,7 @@
                 f"{scenario.name}: proxies not ready in time: {', '.join(not_ready)}; {rig.faults[:1]}"
             )
         fault_handles = [
-            loop.call_at(begin + at, act, rig, *given) for at, act, given in moments(scenario.faults)
+            loop.call_at(begin + at, act, rig, *arguments) for at, act, arguments in moments(scenario.faults)
         ]
         load_task = loop.create_task(clients.run(scenario.seconds, scenario.rate))
         await load_task
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -23,12 +23,14 @@
 
 KEY, FACT_LIFETIMES = b"schedules have a key of their own", {"host": 30_000, "trial": 600_000}
 TICK_INTERVAL, DATAGRAM_DELAY = 500, 10  # in ticks of 0.1 ms
-FAULT_PERIOD, QUIET_PERIOD = 200_000, 150_000
+FAULT_PERIOD, QUIET_PERIOD = 200_000, 150_000  # ticks
 CLOCK_RATES = 1.0, 1.0, 1.02, 0.98
 CLOCK_DRIFT, AGE_TOLERANCE = 0.05, 600  # fraction of clock drift; ticks, for the check's interval
 
 
 class Violation(NamedTuple):
+    """A broken rule; `at` is in ticks since the schedule began."""
+
     rule: str
     at: int
     member: int
@@ -36,6 +38,8 @@
 
 
 class GossipSchedule:
+    """One random schedule of faults and the members that it is run on."""
+
     def __init__(self, seed: int, gossip_class=Gossip) -> None:
         """`gossip_class` is the class under test; tests pass one with a planted fault."""
         self.random, self.now, self.heap, self.event_sequence = (
@@ -60,6 +64,7 @@
         return int(self.now * self.rates[n]) + self.clock_offsets[n]
 
     def play(self) -> list[Violation]:
+        """Runs the schedule and returns the violations of its rules."""
         self.begin, random = self.now, self.random
         for n in range(self.size):
             self.call_later(random.randrange(5_000), self.start, n)
@@ -198,6 +203,7 @@
                 )
 
     def check_agreement(self) -> None:
+        """Checks the rules `apart`, `forgot` and `unlike` at the end of a run."""
         live_members = {f"p{n}" for n, gossip in enumerate(self.gossip_instances) if gossip is not None}
         facts_by_member = {}
         for n, gossip in enumerate(self.gossip_instances):
--- a/basalthook/lab/underclock.py
+++ b/basalthook/lab/underclock.py
@@ -16,6 +16,7 @@
 
 
 def encode_clock_faults(entries: list[tuple[int, int, float, float]]) -> str:
+    """Returns the value of the environment variable for entries of (start, end, seconds ahead, rate)."""
     return ";".join(",".join(map(repr, entry)) for entry in entries)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 def simulate(
     count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **k
 ):
-    """Runs a simulated fleet of hosts with one core that slow down from eight attempts in progress on."""
+    """Simulates one-core hosts that slow down once they hold eight attempts, until they hold none."""
     kinds = [s.Kind(count, cores=1, choke=8, zones=["a", "b"])]
     scenario = s.Scenario(
         "story",
