--- a/basalthook/routing/clients.py
+++ b/basalthook/routing/clients.py
@@ -85,8 +85,8 @@
     def start(self) -> None:
         self.connection.start_reading(self.on_data, self.on_close)
 
-    def set_timer(self, seconds: float, call) -> list:
-        return self.clients.timers.set(int(seconds * TICKS_PER_SECOND), call)
+    def set_timer(self, seconds: float, callback) -> list:
+        return self.clients.timers.set(int(seconds * TICKS_PER_SECOND), callback)
 
     def on_data(self, data, unread_ns: int) -> None:
         """`unread_ns`: how long the data has waited in the kernel."""
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -105,9 +105,9 @@
         self.discovery.tell(2, self.hosts[0].line("s-0", started_ms=1))  # an outdated start time
         await self.wait_until(lambda: self.service.watch.version == 2)
         self.assertAlmostEqual(host.cold_since, self.service.dispatcher.clock.now(), delta=20_000)
-        await asyncio.wait_for(self.reaches(caller, self.hosts[0]), 10)
+        await asyncio.wait_for(self.wait_until_reached(caller, self.hosts[0]), 10)
 
-    async def reaches(self, caller, host):
+    async def wait_until_reached(self, caller, host):
         for n in itertools.count():
             if host.got.qsize():
                 return
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -27,7 +27,7 @@
 
 
 class LateConnections(Loopback):
-    async def start_retry(self, meanwhile=lambda: None, window=0.3):
+    async def start_retry(self, during_connect=lambda: None, window=0.3):
         """The first attempt is reset after its request; the second one's connection is established late."""
         profile = {**SCAN, "repeat_window_ns": int(window * 1e9)}
         caller = await self.start_proxy(SocketHost(RESET), SocketHost(RESET), profiles=[profile])
@@ -45,7 +45,7 @@
         self.service.pool.open_connection = connect_late
         caller.ask("scan")
         await connecting.wait()
-        meanwhile()
+        during_connect()
         return caller
 
     def count_attempts(self):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -75,8 +75,8 @@
             waits = [schedule.retry_delay(overloaded=True) for _ in range(URGENT_RETRIES)]
             self.assertLessEqual(waits[0], 2_000)
             self.assertLessEqual(max(waits), 10_000)
-            tries = sum(sum(waits[: n + 1]) < grace for n in range(URGENT_RETRIES))
-            self.assertGreaterEqual(tries, 4)  # so that at least one has time to be answered
+            calls_in_time = sum(sum(waits[: n + 1]) < grace for n in range(URGENT_RETRIES))
+            self.assertGreaterEqual(calls_in_time, 4)  # so that at least one has time to be answered
 
     def test_an_overloaded_discovery_is_called_at_growing_intervals_while_urgent(self):
         schedule = make_schedule()
@@ -96,8 +96,8 @@
         schedule = make_schedule(list_poll_interval=poll_interval)
         regular_wait = schedule.watch_wait()
         getattr(schedule, event)(*([True] if event == "retry_delay" else []))
-        seen_as_silent = schedule.watch_wait() + schedule.hedge_delay(1)
-        self.assertLessEqual(seen_as_silent, 60_000)  # before its changes take effect
+        silence_noticed_after = schedule.watch_wait() + schedule.hedge_delay(1)
+        self.assertLessEqual(silence_noticed_after, 60_000)  # before its changes take effect
         for _ in range(6):
             schedule.on_answer()
         self.assertGreaterEqual(schedule.watch_wait(), min(regular_wait, 300_000) // 2)
@@ -121,12 +121,12 @@
 
 
 class WatchedDiscovery(Loopback):
-    async def host_leaves(self, seconds, mode, then=int):
+    async def host_leaves(self, seconds, mode, break_watch=int):
         """The watch falls silent after one answer; a new call gets the change, and the host no more work."""
         caller = await self.start_proxy(SocketHost(), SocketHost(), mode=mode)
         self.discovery.tell(2)
         self.assertEqual([await self.discovery.got.get() for _ in range(2)][1].split("&")[0][-7:], "index=2")
-        then()
+        break_watch()
         self.assertIn("index=2", await asyncio.wait_for(self.discovery.got.get(), seconds))
         self.discovery.news.put_nowait(b"")  # goes to the silent watch
         self.discovery.tell(3, self.hosts[0].line("s-0", state="draining"))
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -14,7 +14,7 @@
 from tests.test_program import start
 
 EXAMPLE = os.path.join(os.path.dirname(__file__), "..", "deploy", "start-up.example.json")
-DECIDED = ("--listen", "127.0.0.1:0", "--balancers", "1", "--position", "0")
+MANUAL_OPTIONS = ("--listen", "127.0.0.1:0", "--balancers", "1", "--position", "0")
 
 
 class Migrate(unittest.IsolatedAsyncioTestCase):
@@ -32,8 +32,8 @@
         return {path.name: path.read_text() for path in Path(self.folder).iterdir()}
 
     def migrate(self, *args):
-        done = CliRunner().invoke(commands.main, ["migrate", self.old, *args])
-        return done.exit_code, done.stdout, done.stderr
+        result = CliRunner().invoke(commands.main, ["migrate", self.old, *args])
+        return result.exit_code, result.stdout, result.stderr
 
     def change(self, **settings):
         return {**self.example, "settings": {**self.example["settings"], **settings}}
@@ -100,7 +100,9 @@
             self.assertEqual((exit_code, self.files()), (code, before), err)
             self.assertIn(expected, err)
         self.put(unknown)
-        self.assertEqual(self.migrate("--output", self.old, "--replace", "--drop-unknown", *DECIDED)[0], 0)
+        self.assertEqual(
+            self.migrate("--output", self.old, "--replace", "--drop-unknown", *MANUAL_OPTIONS)[0], 0
+        )
         self.assertNotIn("load_report", self.files()["old.json"])
 
     async def test_a_proxy_starts_with_a_migrated_file_and_uses_a_host_with_a_low_live_weight(self):
@@ -108,7 +110,7 @@
         self.addAsyncCleanup(host.stop)
         self.addAsyncCleanup(discovery.stop)
         self.put(start_up([host], discovery))
-        self.assertEqual(self.migrate("--output", self.new, *DECIDED)[0], 0)
+        self.assertEqual(self.migrate("--output", self.new, *MANUAL_OPTIONS)[0], 0)
         process = await start("serve", RELAY_CONFIG=self.new)
         try:
             await discovery.got.get()  # the first call of the watch
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -96,12 +96,12 @@
         process, caller = await self.serve()
         self.assertIn("index=1", await self.discovery.got.get())
         with open(self.path) as file:
-            whole = json.load(file)
+            document = json.load(file)
         for text, event in (
             ("{", "file refused"),
             ('{"name": "n1"}', "file refused"),
-            (json.dumps({**whole, "discovery": moved.address, "listen": "127.0.0.1:9"}), "file taken"),
-            (json.dumps({**whole, "discovery": moved.address}), "file taken"),
+            (json.dumps({**document, "discovery": moved.address, "listen": "127.0.0.1:9"}), "file taken"),
+            (json.dumps({**document, "discovery": moved.address}), "file taken"),
         ):
             with open(self.path, "w") as file:
                 file.write(text)
@@ -117,25 +117,25 @@
     async def test_a_file_that_is_complete_shortly_after_sighup_is_applied(self):
         process, _ = await self.serve()
         with open(self.path) as file:
-            whole = file.read()
-        for half in ("", whole[: len(whole) // 2]):
+            document = file.read()
+        for incomplete in ("", document[: len(document) // 2]):
             with open(self.path, "w") as file:
-                file.write(half)
+                file.write(incomplete)
             process.send_signal(signal.SIGHUP)
             await self.line(process, "file refused")
             with open(self.path, "w") as file:
-                file.write(whole)
+                file.write(document)
             await asyncio.wait_for(self.line(process, "file taken"), 2)
 
     async def test_a_sighup_at_any_moment_of_the_start_is_survived_and_its_file_applied(self):
         moved = await SocketDiscovery().start()
         self.addAsyncCleanup(moved.stop)
-        whole = start_up([self.host], self.discovery, self.listen)
+        document = start_up([self.host], self.discovery, self.listen)
         run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         run = run.replace(".venv/bin/python", sys.executable)
         for hundredths in range(1, 7):
             with open(self.path, "w") as file:
-                json.dump(whole, file)
+                json.dump(document, file)
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
@@ -151,7 +151,7 @@
                 await asyncio.sleep(hundredths / 100)
                 if n == 4:
                     with open(self.path + ".new", "w") as file:
-                        json.dump({**whole, "discovery": moved.address}, file)
+                        json.dump({**document, "discovery": moved.address}, file)
                     os.replace(self.path + ".new", self.path)
                 process.send_signal(signal.SIGHUP)
             await self.line(process, "ready")
@@ -161,8 +161,8 @@
     async def send_requests(self, process, answers):
         """Like an application at a planned restart: reconnects whenever it is disconnected, for 0.4 s."""
         caller, clock = await Caller().to(self.listen.split(":")), asyncio.get_running_loop().time
-        again = True
-        while again:
+        keep_sending = True
+        while keep_sending:
             try:
                 caller.ask("submit")
                 status, _, head = await caller.answer()
@@ -174,10 +174,10 @@
                 self.terminated_at = clock()
             if "Connection: close" in head:
                 await caller.stop()
-                again = self.terminated_at is not None and clock() < self.terminated_at + 0.4
-                if again or status is None:
+                keep_sending = self.terminated_at is not None and clock() < self.terminated_at + 0.4
+                if keep_sending or status is None:
                     caller = await Caller().to(self.listen.split(":"))
-                again = again or status is None
+                keep_sending = keep_sending or status is None
 
     async def test_a_planned_restart_loses_none_of_the_requests_that_keep_coming(self):
         process, _ = await self.serve()
@@ -232,15 +232,15 @@
         self.assertIn(b"1 hosts known", out)
 
     async def test_a_failed_start_prints_one_line_and_exits_with_nonzero(self):
-        whole = start_up([self.host], self.discovery)
+        document = start_up([self.host], self.discovery)
         for text in (
             "{",
             "[]",
             "{}",
-            json.dumps({**whole, "listen": "here"}),
-            json.dumps({**whole, "listen": self.host.address}),  # in use
-            json.dumps({**whole, "settings": {}}),
-            json.dumps({**whole, "known": {"servers": 1}}),
+            json.dumps({**document, "listen": "here"}),
+            json.dumps({**document, "listen": self.host.address}),  # in use
+            json.dumps({**document, "settings": {}}),
+            json.dumps({**document, "known": {"servers": 1}}),
         ):
             with open(self.path, "w") as file:
                 file.write(text)
