--- a/basalthook/lab/command.py
+++ b/basalthook/lab/command.py
@@ -23,8 +23,8 @@
     """
     loaded, console = read_scenario(path, seed, seconds), Console()
     console.print(show.describe(loaded), highlight=False)
-    with show.LiveBoard(loaded, console) as board:
-        result = play(loaded, board)
+    with show.LiveTable(loaded, console) as live_table:
+        result = play(loaded, live_table)
     return report(loaded, result, console, output_path)
 
 
@@ -37,27 +37,30 @@
 
 
 def run_soak(first: int, count: int, minutes: float | None, output_path: str | None) -> bool:
-    """Runs the random days of these seeds one after the other and prints a line for each.
+    """Runs the random scenarios of these seeds one after the other and prints a line for each.
 
-    `minutes`: no day starts after this time; `output_path`: a file for one JSON object with all results.
+    `minutes`: no scenario starts after this time; `output_path`: a file for one JSON object with all results.
     """
-    console, days = Console(), []
+    console, outcomes = Console(), []
     deadline = None if minutes is None else time.monotonic() + minutes * 60
     for seed in range(first, first + count):
         if deadline is not None and time.monotonic() >= deadline:
             break
-        days.append(run_soak_day(seed, console))
-    failed_seeds = [day["seed"] for day in days if not day["kept"]]
+        outcomes.append(run_soak_scenario(seed, console))
+    failed_seeds = [outcome["seed"] for outcome in outcomes if not outcome["kept"]]
     console.print(
-        f"{len(days) - len(failed_seeds)} of {len(days)} days kept all rules; broken: {failed_seeds}",
+        f"{len(outcomes) - len(failed_seeds)} of {len(outcomes)} days kept all rules; broken: {failed_seeds}",
         highlight=False,
     )
-    write_json(output_path, {"days": days, "broken": failed_seeds})
+    write_json(output_path, {"days": outcomes, "broken": failed_seeds})
     return not failed_seeds
 
 
-def run_soak_day(seed: int, console: Console) -> dict:
-    """Runs one day and prints its outcome; if it failed, also how to repeat it and a timeline."""
+def run_soak_scenario(seed: int, console: Console) -> dict:
+    """Runs the random scenario of a seed and prints its outcome.
+
+    After a failure it also prints how to repeat it and a timeline.
+    """
     rigs: list[processes.Rig] = []
     result = processes.play(soak.draw_scenario(seed), rigs)
     verdict, passed = result.verdict, result.verdict.passed and not result.faults
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -47,12 +47,12 @@
         self.heap, self.event_sequence, self.digest = [], count(), blake2b(digest_size=16)
         self.machines, self.zones = build_machines(scenario)
         size = len(self.machines)
-        self.host_random = [Random(f"host {n} of {seed}") for n in range(size)]
-        self.network_random, self.discovery_random = (
+        self.host_rngs = [Random(f"host {n} of {seed}") for n in range(size)]
+        self.network_rng, self.discovery_rng = (
             Random(f"network of {seed}"),
             Random(f"discovery of {seed}"),
         )
-        self.up, self.states, self.started = [True] * size, ["up"] * size, [0.0] * size
+        self.host_is_up, self.listed_states, self.host_started_at = [True] * size, ["up"] * size, [0.0] * size
         self.host_hashes = [terms.stable_number(f"host-{n}") for n in range(size)]
         self.unreachable_attempts = Counter()  # (proxy, host) -> attempts while the host had vanished
         # (proxy, transaction) -> [attempts sent, attempts in flight]; removed when it is finished
@@ -64,8 +64,8 @@
         # (proxy, transaction) -> arguments with which a client retries the request
         self.retry_arguments: dict[tuple, tuple] = {}
         numbers = {p.name: n for n, p in enumerate(scenario.load.profiles)}
-        self.profile_numbers, self.request_random = numbers, Random(f"draws of {seed}")
-        self.arrival_random, self.retry_random = Random(f"schedule of {seed}"), Random(f"manners of {seed}")
+        self.profile_numbers, self.request_rng = numbers, Random(f"draws of {seed}")
+        self.arrival_rng, self.behaviour_rng = Random(f"schedule of {seed}"), Random(f"manners of {seed}")
         self.key_weights = list(
             accumulate(rank**-scenario.load.zipf for rank in range(1, scenario.load.keys + 1))
         )
@@ -76,9 +76,11 @@
         self.links, zones = Links(seed, scenario.proxies, size), sorted(set(self.zones))
         self.proxy_zones = [zones[n % len(zones)] for n in range(scenario.proxies)]
         self.proxies: list[Proxy | None] = [None] * scenario.proxies
-        self.policies: list = [None] * scenario.proxies  # decision code with its layers around it
+        self.policies: list = [
+            None
+        ] * scenario.proxies  # the decision code of each proxy, inside the layers that wrap it
         # number of processes started per proxy; stopped proxy -> its pending events until it is resumed
-        self.lives, self.stopped = [0] * scenario.proxies, {}
+        self.process_numbers, self.stopped = [0] * scenario.proxies, {}
         # (reference time, clock reading at that time, clock rate) per proxy
         self.clocks = [(START_TIME, START_TIME, 1.0)] * scenario.proxies
         for fault in scenario.faults:
@@ -91,32 +93,34 @@
         for n in range(scenario.proxies):
             self.start_process(n, True)
 
-    def start_process(self, n: int, first: bool) -> None:
+    def start_process(self, proxy: int, first: bool) -> None:
         """Starts a new process of this proxy, with the host list that discovery holds."""
-        self.lives[n] += 1
-        settings = terms.policy_settings(proxy_settings(self.scenario, n, self.proxy_zones[n]))
-        life_suffix = "" if first else f", life {self.lives[n]}"
-        proxy = self.proxies[n] = Proxy(
-            settings, terms.stable_number(f"proxy {n} of {self.seed}{life_suffix}"), self.clock_ticks(n)
+        self.process_numbers[proxy] += 1
+        settings = terms.policy_settings(proxy_settings(self.scenario, proxy, self.proxy_zones[proxy]))
+        process_suffix = "" if first else f", life {self.process_numbers[proxy]}"
+        decisions = self.proxies[proxy] = Proxy(
+            settings,
+            terms.stable_number(f"proxy {proxy} of {self.seed}{process_suffix}"),
+            self.clock_ticks(proxy),
         )
-        policy = FaultAggregator(proxy)
+        policy = FaultAggregator(decisions)
         if self.members is not None:
-            policy = self.members.start_member(n, proxy, settings.zone, first)
-        self.policies[n] = PollingPolicy(DiscoverySchedule(settings, proxy.rng), policy)
-        self.apply_effects(n, self.policies[n].begin())
-        listed = [host for host in range(len(self.machines)) if self.states[host] != "removed"]
-        self.deliver(n, interface.HostListReceived(tuple(map(self.host_entry, listed)), True, False))
+            policy = self.members.start_member(proxy, decisions, settings.zone, first)
+        self.policies[proxy] = PollingPolicy(DiscoverySchedule(settings, decisions.rng), policy)
+        self.apply_effects(proxy, self.policies[proxy].begin())
+        listed = [host for host in range(len(self.machines)) if self.listed_states[host] != "removed"]
+        self.deliver(proxy, interface.HostListReceived(tuple(map(self.host_entry, listed)), True, False))
 
-    def clock_reading(self, n: int) -> float:
+    def clock_reading(self, proxy: int) -> float:
         """Reading of this proxy's clock, in seconds."""
-        reference_time, reference_reading, rate = self.clocks[n]
+        reference_time, reference_reading, rate = self.clocks[proxy]
         return reference_reading + (self.now - reference_time) * rate
 
-    def clock_ticks(self, n: int) -> int:
-        return int(self.clock_reading(n) * TICKS_PER_SECOND)
+    def clock_ticks(self, proxy: int) -> int:
+        return int(self.clock_reading(proxy) * TICKS_PER_SECOND)
 
-    def clock_rate(self, n: int) -> float:
-        return self.clocks[n][2]
+    def clock_rate(self, proxy: int) -> float:
+        return self.clocks[proxy][2]
 
     def clock(self) -> float:
         return self.now
@@ -127,11 +131,9 @@
     def run(self) -> None:
         scenario = self.scenario
         load_end_time = START_TIME + scenario.seconds
-        for at, act, arguments in fault_events(scenario.faults):
-            self.call_later(at, act, self, *arguments)
-        self.call_later(
-            self.arrival_random.expovariate(scenario.rate_at(0.0)), self.next_arrival, load_end_time
-        )
+        for at, function, arguments in fault_events(scenario.faults):
+            self.call_later(at, function, self, *arguments)
+        self.call_later(self.arrival_rng.expovariate(scenario.rate_at(0.0)), self.next_arrival, load_end_time)
         longest = max(p.hard_limit for p in scenario.load.profiles)
         end_time = load_end_time + (longest + GRACE_AFTER_DEADLINE_S) * (1 + scenario.load.retries)
         while (
@@ -151,14 +153,14 @@
 
     def next_arrival(self, load_end_time: float) -> None:
         load = self.scenario.load
-        (profile,) = self.request_random.choices(load.profiles, [p.share for p in load.profiles])
-        key = f"key-{self.request_random.choices(range(load.keys), cum_weights=self.key_weights)[0]}"
-        proxy = self.next_running_proxy(self.request_random.randrange(len(self.proxies)))
+        (profile,) = self.request_rng.choices(load.profiles, [p.share for p in load.profiles])
+        key = f"key-{self.request_rng.choices(range(load.keys), cum_weights=self.key_weights)[0]}"
+        proxy = self.next_running_proxy(self.request_rng.randrange(len(self.proxies)))
         self.send_request(
-            proxy, profile, key, self.request_random.expovariate(1 / profile.work), self.now, None, 0
+            proxy, profile, key, self.request_rng.expovariate(1 / profile.work), self.now, None, 0
         )
         if (
-            due := self.now + self.arrival_random.expovariate(self.scenario.rate_at(self.now - START_TIME))
+            due := self.now + self.arrival_rng.expovariate(self.scenario.rate_at(self.now - START_TIME))
         ) < load_end_time:
             self.call_later(due - self.now, self.next_arrival, load_end_time)
 
@@ -175,17 +177,17 @@
         )
 
     def send_request(
-        self, proxy: int, profile, key: str, work: float, due: float, first_name: str | None, retry_count: int
+        self, proxy: int, profile, key: str, work: float, due: float, first_tx: str | None, retry_count: int
     ):
         tx = next(self.transaction_numbers)
         name, deadline_time = f"tx-{tx}", self.now + profile.hard_limit
-        asked = Asked(
-            self.now, name, profile.effect == "once", deadline_time, profile.name, due, first_name or name
+        request = Asked(
+            self.now, name, profile.effect == "once", deadline_time, profile.name, due, first_tx or name
         )
-        self.record(asked)
+        self.record(request)
         self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx] = (
-            asked,
-            (profile, key, work, due, first_name or name, retry_count),
+            request,
+            (profile, key, work, due, first_tx or name, retry_count),
         )
         self.deliver(
             proxy,
@@ -198,18 +200,18 @@
         )
 
     def answer_received(self, proxy: int, tx: int, status: int, retry_after: float = 0.0) -> None:
-        asked, arguments = (
+        request, arguments = (
             self.open_transactions.pop((proxy, tx), None),
             self.retry_arguments.pop((proxy, tx), None),
         )
-        if asked is None:
+        if request is None:
             return
-        self.record(Answered(self.now, asked.tx, status, status == 200))
+        self.record(Answered(self.now, request.tx, status, status == 200))
         self.forget_if_finished(proxy, tx)
         load = self.scenario.load
         if status == 503 and arguments[-1] < load.retries:
-            wait = retry_after if self.retry_random.random() < load.obey else 0.0
-            next_proxy = self.next_running_proxy(self.request_random.randrange(len(self.proxies)))
+            wait = retry_after if self.behaviour_rng.random() < load.obey else 0.0
+            next_proxy = self.next_running_proxy(self.request_rng.randrange(len(self.proxies)))
             self.call_later(wait, self.send_request, next_proxy, *arguments[:-1], arguments[-1] + 1)
 
     def forget_if_finished(self, proxy: int, tx: int) -> None:
@@ -218,9 +220,13 @@
 
     # ---- effects of the decision code
 
-    def deliver(self, proxy: int, event, life: int | None = None) -> None:
-        """Gives an event to a proxy's decisions, unless it was meant for another process of the proxy."""
-        if self.proxies[proxy] is None or life is not None and life != self.lives[proxy]:
+    def deliver(self, proxy: int, event, process_number: int | None = None) -> None:
+        """Passes an event to a proxy's decision code; drops it if process `process_number` has ended."""
+        if (
+            self.proxies[proxy] is None
+            or process_number is not None
+            and process_number != self.process_numbers[proxy]
+        ):
             return
         if proxy in self.stopped:
             self.stopped[proxy].append(event)
@@ -237,7 +243,7 @@
             self.deliver,
             proxy,
             interface.TimerDue(effect.timer_id),
-            self.lives[proxy],
+            self.process_numbers[proxy],
         )
 
     def roll_back(self, proxy: int, effect) -> None:
@@ -248,7 +254,7 @@
 
     def request_host_list(self, proxy: int, effect) -> None:
         self.wire.append(ListRequested(self.now, proxy))
-        if self.discovery_random.random() < self.scenario.discovery.fails:
+        if self.discovery_rng.random() < self.scenario.discovery.fails:
             return self.call_later(
                 self.scenario.discovery.notice, self.deliver, proxy, interface.HostListFailed()
             )
@@ -275,7 +281,7 @@
         attempt = counts[0]
         counts[0], counts[1] = attempt + 1, counts[1] + 1
         self.attempts_in_flight[proxy, tx, attempt] = [host, self.now]
-        asked, arguments = self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx]
+        request, arguments = self.open_transactions[proxy, tx], self.retry_arguments[proxy, tx]
         source_zone, target_zone = self.proxy_zones[proxy], self.zones[host]
         delay, lost = self.network_delay(source_zone, target_zone), self.is_lost(source_zone, target_zone)
         extra_delay = self.links.message_delay(f"p{proxy}", f"h{host}")
@@ -288,7 +294,7 @@
                 tx,
                 attempt,
                 host,
-                asked.tx,
+                request.tx,
                 arguments[1],
                 arguments[2],
                 delay,
@@ -306,15 +312,17 @@
     def network_delay(self, source_zone: str, target_zone: str) -> float:
         network, since = self.scenario.network, self.now - START_TIME
         delay = (network.same if source_zone == target_zone else network.cross) * (
-            1 + network.jitter * self.network_random.random()
+            1 + network.jitter * self.network_rng.random()
+        )
+        return delay + sum(
+            fault.more for fault in self.long_way_faults if fault.affects(since, source_zone, target_zone)
         )
-        return delay + sum(f.more for f in self.long_way_faults if f.affects(since, source_zone, target_zone))
 
     def is_lost(self, source_zone: str, target_zone: str) -> bool:
         return any(
-            f.affects(self.now - START_TIME, source_zone, target_zone)
-            and self.network_random.random() < f.loses
-            for f in self.long_way_faults
+            fault.affects(self.now - START_TIME, source_zone, target_zone)
+            and self.network_rng.random() < fault.loses
+            for fault in self.long_way_faults
         )
 
     def end_attempt(self, proxy: int, tx: int, attempt: int, outcome: str) -> None:
@@ -362,12 +370,12 @@
             return self.call_later(
                 CONNECT_TIMEOUT_S, self.end_attempt, proxy, tx, attempt, interface.UNREACHABLE
             )
-        if not self.up[host]:
+        if not self.host_is_up[host]:
             return self.call_later(delay, self.end_attempt, proxy, tx, attempt, interface.UNREACHABLE)
         cost = machine.cost(now, key, work)
         cold, capacity = machine.started_at if machine.warmth(now) < 1.0 else None, machine.capacity(now)
         full = machine.occupied_slots >= machine.slots
-        fails = not full and any(self.host_random[host].random() < share for share in machine.error_shares)
+        fails = not full and any(self.host_rngs[host].random() < share for share in machine.error_shares)
         self.record(Got(now, host, name, cost, capacity, cold, not full, proxy, sent_at))
         if fails and self.has_limits:
             self.record(Done(now, host, name))
@@ -376,20 +384,24 @@
                 delay, self.end_attempt, proxy, tx, attempt, interface.REFUSED if full else interface.ERROR
             )
         finish_time = machine.accept(now, cost)
-        self.call_later(finish_time - now, self.finish_work, proxy, tx, attempt, host, machine.life, delay)
+        self.call_later(
+            finish_time - now, self.finish_work, proxy, tx, attempt, host, machine.process_number, delay
+        )
 
-    def finish_work(self, proxy: int, tx: int, attempt: int, host: int, life: int, delay: float) -> None:
+    def finish_work(
+        self, proxy: int, tx: int, attempt: int, host: int, process_number: int, delay: float
+    ) -> None:
         machine = self.machines[host]
-        machine.release(life)
-        if self.has_limits and life == machine.life:
+        machine.release(process_number)
+        if self.has_limits and process_number == machine.process_number:
             self.record(Done(self.now, host, f"tx-{tx}"))
         source_zone, target_zone = self.proxy_zones[proxy], self.zones[host]
         lost = any(
-            self.host_random[host].random() < share for share in machine.answer_loss_shares
+            self.host_rngs[host].random() < share for share in machine.answer_loss_shares
         ) or self.is_lost(source_zone, target_zone)
         extra_delay = self.links.message_delay(f"h{host}", f"p{proxy}")
         if (
-            life == machine.life
+            process_number == machine.process_number
             and not machine.silent
             and not machine.vanished
             and not lost
@@ -399,53 +411,53 @@
 
     # ---- faults of proxies
 
-    def kill_proxy(self, n: int) -> None:
+    def kill_proxy(self, proxy: int) -> None:
         """Drops all state of the proxy; hosts still finish the attempts that it has sent."""
-        self.excuse_open_transactions(n)
+        self.excuse_open_transactions(proxy)
         for table in (
             self.open_transactions,
             self.retry_arguments,
             self.attempt_counts,
             self.attempts_in_flight,
         ):
-            for entry in [entry for entry in table if entry[0] == n]:
+            for entry in [entry for entry in table if entry[0] == proxy]:
                 del table[entry]
-        self.proxies[n] = self.policies[n] = None
-        self.stopped.pop(n, None)
+        self.proxies[proxy] = self.policies[proxy] = None
+        self.stopped.pop(proxy, None)
         if self.members is not None:
-            self.members.stop_member(n)
+            self.members.stop_member(proxy)
 
-    def start_proxy(self, n: int, forgets: bool) -> None:
+    def start_proxy(self, proxy: int, forgets: bool) -> None:
         """Starts a new process. No state survives a process at this depth, so `forgets` has no effect."""
-        self.start_process(n, False)
+        self.start_process(proxy, False)
 
-    def stop_proxy(self, n: int) -> None:
-        self.excuse_open_transactions(n)
-        self.stopped[n] = []
+    def stop_proxy(self, proxy: int) -> None:
+        self.excuse_open_transactions(proxy)
+        self.stopped[proxy] = []
 
-    def resume_proxy(self, n: int) -> None:
+    def resume_proxy(self, proxy: int) -> None:
         """Delivers queued datagrams before queued events: a process reads its sockets, then runs timers."""
-        queued_events = self.stopped.pop(n, [])
-        if self.members is not None and self.members.gossip_instances[n] is not None:
-            self.members.deliver_waiting(n)
+        queued_events = self.stopped.pop(proxy, [])
+        if self.members is not None and self.members.gossip_instances[proxy] is not None:
+            self.members.deliver_waiting(proxy)
         for event in queued_events:
-            self.deliver(n, event)
+            self.deliver(proxy, event)
 
-    def excuse_open_transactions(self, n: int) -> None:
+    def excuse_open_transactions(self, proxy: int) -> None:
         self.wire += [
-            AnswerWaived(self.now, asked.tx)
-            for (proxy, _), asked in self.open_transactions.items()
-            if proxy == n
+            AnswerWaived(self.now, request.tx)
+            for (tx_proxy, _), request in self.open_transactions.items()
+            if tx_proxy == proxy
         ]
 
-    def set_clock(self, n: int, ahead: float, rate: float) -> None:
+    def set_clock(self, proxy: int, ahead: float, rate: float) -> None:
         """Changes the clock rate only: a running process uses a monotonic clock, which never jumps."""
-        self.clocks[n] = self.now, self.clock_reading(n), rate
+        self.clocks[proxy] = self.now, self.clock_reading(proxy), rate
 
     # ---- faults of hosts, and discovery
 
     def kill(self, host: int) -> None:
-        self.up[host] = False
+        self.host_is_up[host] = False
         self.machines[host].start(self.now)
         if self.has_limits:
             self.record(Done(self.now, host, ""))
@@ -457,18 +469,18 @@
         self.list_as(host, "removed")
 
     def start_host(self, host: int) -> None:
-        self.up[host], self.started[host] = True, self.now
+        self.host_is_up[host], self.host_started_at[host] = True, self.now
         self.machines[host].start(self.now)
         self.list_as(host, "up")
 
     def list_as(self, host: int, state: str) -> None:
-        self.call_later(self.scenario.discovery.notice, self.change, host, state)
+        self.call_later(self.scenario.discovery.notice, self.change_state, host, state)
 
-    def change(self, host: int, state: str) -> None:
-        self.states[host] = state
+    def change_state(self, host: int, state: str) -> None:
+        self.listed_states[host] = state
         for proxy in range(len(self.proxies)):
             self.call_later(
-                self.discovery_random.random() * self.scenario.discovery.notice,
+                self.discovery_rng.random() * self.scenario.discovery.notice,
                 self.send_host_list,
                 proxy,
                 host,
@@ -479,27 +491,34 @@
         hosts = range(len(self.machines)) if host is None else [host]
         if self.proxies[proxy] is None or self.links.message_delay("d", f"p{proxy}") is None:
             return
-        self.wire.extend(HostStateSent(self.now, n, self.states[n], proxy) for n in hosts)
-        listed = tuple(self.host_entry(n) for n in hosts if host is not None or self.states[n] != "removed")
+        self.wire.extend(
+            HostStateSent(self.now, listed_host, self.listed_states[listed_host], proxy)
+            for listed_host in hosts
+        )
+        listed = tuple(
+            self.host_entry(listed_host)
+            for listed_host in hosts
+            if host is not None or self.listed_states[listed_host] != "removed"
+        )
         self.deliver(proxy, interface.HostListReceived(listed, host is None, True))
 
-    def host_entry(self, n: int) -> interface.HostEntry:
-        machine, state = self.machines[n], self.states[n]
+    def host_entry(self, host: int) -> interface.HostEntry:
+        machine, state = self.machines[host], self.listed_states[host]
         host_record = HostRecord(
-            f"host-{n}",
+            f"host-{host}",
             ("127.0.0.1", 1),
-            self.zones[n],
+            self.zones[host],
             0,
             state == "up",
             state == "removed",
             machine.cores * machine.speed,
-            int(self.started[n] * 1e9),
+            int(self.host_started_at[host] * 1e9),
             "",
             state == "draining",
         )
         return terms.host_entry(
-            n,
-            self.host_hashes[n],
+            host,
+            self.host_hashes[host],
             host_record.zone,
             host_record.cell,
             host_record.ready,
@@ -511,7 +530,7 @@
 
 
 def play(scenario: Scenario) -> Result:
-    """Runs the scenario with its own seed; raises BadScenario for faults that need sockets."""
+    """Runs the scenario with its own seed; raises ScenarioError for faults that need sockets."""
     if any(isinstance(fault, Maintain | PROCESS_ONLY_FAULTS) for fault in scenario.faults):
         raise ScenarioError(
             f"{scenario.name}: maintain and faults of discovery need sockets or processes, see --depth"
--- a/basalthook/lab/discovery.py
+++ b/basalthook/lab/discovery.py
@@ -34,7 +34,7 @@
         self.cancel_watch()
         self.fleet.discovery_connections.discard(self)
         others = any(connection.proxy == self.proxy for connection in self.fleet.discovery_connections)
-        if self.call_pending and not others:  # the proxy gave up, and not because another call was answered
+        if self.call_pending and not others:  # the proxy closed its only connection before an answer
             self.fleet.last_call_failed[self.proxy] = True
 
     def message_received(self, first_line: str, fields: dict, body: bytes) -> None:
@@ -87,7 +87,7 @@
             host for host, changed in enumerate(self.fleet.changed_in_version) if full or changed > since
         ]
         body = json.dumps(self.fleet.host_list(hosts, full, self.proxy)).encode()
-        states = [(host, self.fleet.states[host]) for host in hosts]
+        states = [(host, self.fleet.listed_states[host]) for host in hosts]
         self.fleet.deliver("d", f"p{self.proxy}", self.write_list, body, states)
 
     def send_truncated_list(self) -> None:
--- a/basalthook/lab/endpoints.py
+++ b/basalthook/lab/endpoints.py
@@ -119,16 +119,18 @@
             fleet.note_attempt_done(self.host, tx)
             self.send_answer(500)
         else:
-            asyncio.get_running_loop().call_later(ends_at - now, self.finish_work, machine, machine.life, tx)
+            asyncio.get_running_loop().call_later(
+                ends_at - now, self.finish_work, machine, machine.process_number, tx
+            )
 
-    def finish_work(self, machine: Machine, life: int, tx: str) -> None:
+    def finish_work(self, machine: Machine, process_number: int, tx: str) -> None:
         """Answers, unless the process has ended since, the host is silent, or a fault loses the answer."""
-        machine.release(life)
-        if life == machine.life:
+        machine.release(process_number)
+        if process_number == machine.process_number:
             self.fleet.note_attempt_done(self.host, tx)
         rng = self.fleet.host_rngs[self.host]
         answer_lost = any(rng.random() < share for share in machine.answer_loss_shares)
-        if life != machine.life or machine.silent or answer_lost:
+        if process_number != machine.process_number or machine.silent or answer_lost:
             return
         body = f"{tx} by {self.host}".encode()
         active_faults = [fault for fault in self.fleet.answer_faults[self.host] if rng.random() < fault.share]
--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -18,7 +18,7 @@
 CLOCK_DRIFT, TERM = 0.2, 12
 
 
-class World(NamedTuple):
+class SearchState(NamedTuple):
     """One state of the search."""
 
     member_states: tuple  # per member: life, silent until, vote, round, valid until, ballots
@@ -49,10 +49,10 @@
     def record_message(self, name: str, message: list) -> None:
         self.outbox.append((NAMES.index(name), tuple(message)))
 
-    def load_member(self, world: World, n: int) -> LeaderElection:
-        member = self.members[n]
+    def load_member(self, state: SearchState, position: int) -> LeaderElection:
+        member = self.members[position]
         (member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots) = (
-            world.member_states[n]
+            state.member_states[position]
         )
         member.ballots = {number: (at, set(votes)) for number, at, votes in frozen_ballots}
         self.outbox.clear()
@@ -65,59 +65,75 @@
         )
         return member.life, member.silent_until, member.vote, member.round, member.valid_until, frozen_ballots
 
-    def world_after(self, world: World, n: int, member: LeaderElection) -> World:
-        """The state after a member's step; sent messages may arrive at any time, repeatedly or never."""
-        new_states = world.member_states[:n] + (self.freeze_member(member),) + world.member_states[n + 1 :]
-        return world._replace(
-            member_states=new_states, sent_messages=world.sent_messages | frozenset(self.outbox)
+    def state_after(self, state: SearchState, position: int, member: LeaderElection) -> SearchState:
+        """The state after a member's step. Sent messages may arrive at any time, repeatedly or never."""
+        new_states = (
+            state.member_states[:position]
+            + (self.freeze_member(member),)
+            + state.member_states[position + 1 :]
+        )
+        return state._replace(
+            member_states=new_states, sent_messages=state.sent_messages | frozenset(self.outbox)
         )
 
-    def clock(self, world: World, n: int) -> int:
-        return world.step * TICKS_PER_STEP[n]
-
-    def successors(self, world: World):
-        """Yields the states after a clock step, a message, a vote request or release, or a restart."""
-        if world.step < self.steps:
-            yield world._replace(step=world.step + 1)
-        for n, message in world.sent_messages:
-            member = self.load_member(world, n)
-            member.received(self.clock(world, n), list(message))
-            yield self.world_after(world, n, member)
-        for n in (0, 1):
-            now = self.clock(world, n)
-            member = self.load_member(world, n)
+    def clock(self, state: SearchState, position: int) -> int:
+        return state.step * TICKS_PER_STEP[position]
+
+    def successors(self, state: SearchState):
+        """Yields the search states after a clock step, a message, a vote request or release, or a restart."""
+        if state.step < self.steps:
+            yield state._replace(step=state.step + 1)
+        for position, message in state.sent_messages:
+            member = self.load_member(state, position)
+            member.received(self.clock(state, position), list(message))
+            yield self.state_after(state, position, member)
+        for position in (0, 1):
+            now = self.clock(state, position)
+            member = self.load_member(state, position)
             if member.round < self.max_ballots and now >= member.silent_until:
                 member.request_votes(now)
-                yield self.world_after(world, n, member)
-            member = self.load_member(world, n)
+                yield self.state_after(state, position, member)
+            member = self.load_member(state, position)
             if member.ballots:
                 member.release_votes(now)
-                yield self.world_after(world, n, member)
-        if world.restarts < self.restarts:
-            for n in range(3):
-                life = world.member_states[n][0] + 1
+                yield self.state_after(state, position, member)
+        if state.restarts < self.restarts:
+            for position in range(3):
+                life = state.member_states[position][0] + 1
                 restarted = self.election_class(
-                    NAMES[n], life, NAMES, TERM, CLOCK_DRIFT, None, None, None, self.clock(world, n)
+                    NAMES[position],
+                    life,
+                    NAMES,
+                    TERM,
+                    CLOCK_DRIFT,
+                    None,
+                    None,
+                    None,
+                    self.clock(state, position),
                 )
                 self.outbox.clear()
-                yield self.world_after(world, n, restarted)._replace(restarts=world.restarts + 1)
+                yield self.state_after(state, position, restarted)._replace(restarts=state.restarts + 1)
 
-    def leaders(self, world: World) -> list[str]:
+    def leaders(self, state: SearchState) -> list[str]:
         """Names of the members whose leadership is valid by their own clocks."""
-        return [name for n, name in enumerate(NAMES) if self.clock(world, n) < world.member_states[n][4]]
+        return [
+            name
+            for position, name in enumerate(NAMES)
+            if self.clock(state, position) < state.member_states[position][4]
+        ]
 
-    def run(self, max_states: int = 10**7) -> tuple[int, World | None]:
+    def run(self, max_states: int = 10**7) -> tuple[int, SearchState | None]:
         """Returns the number of states and one with two leaders, or None.
 
         Raises MemoryError at more than `max_states` states.
         """
-        first = World(tuple((0, 0, None, 0, 0, ()) for _ in NAMES), frozenset(), 0, 0)
+        first = SearchState(tuple((0, 0, None, 0, 0, ()) for _ in NAMES), frozenset(), 0, 0)
         seen, queue = {first}, deque([first])
         while queue:
-            world = queue.popleft()
-            if len(self.leaders(world)) > 1:
-                return len(seen), world
-            for successor in self.successors(world):
+            state = queue.popleft()
+            if len(self.leaders(state)) > 1:
+                return len(seen), state
+            for successor in self.successors(state):
                 if successor not in seen:
                     seen.add(successor)
                     queue.append(successor)
@@ -127,9 +143,9 @@
 
 
 def main() -> None:
-    states, violating_world = Explorer().run()
-    print(f"{states} states, {'none with two leaders' if violating_world is None else violating_world}")
-    sys.exit(violating_world is not None)
+    states, violating_state = Explorer().run()
+    print(f"{states} states, {'none with two leaders' if violating_state is None else violating_state}")
+    sys.exit(violating_state is not None)
 
 
 if __name__ == "__main__":
--- a/basalthook/lab/judge.py
+++ b/basalthook/lab/judge.py
@@ -175,7 +175,9 @@
         deadline = min([entry.limit, *(answer.at for answer in tx_answers[:1])]) + SOCKET_SLACK_S
         for attempt in attempts[tx]:
             if (attempt.at if attempt.left is None else attempt.left) > deadline:
-                yield Violation("lost", attempt.at, attempt.host, tx, "an attempt after its end")
+                yield Violation(
+                    "lost", attempt.at, attempt.host, tx, "an attempt after the answer or the hard limit"
+                )
     for tx, tx_attempts in attempts.items():
         if tx not in requests:
             yield Violation(
@@ -246,7 +248,7 @@
         if not entry.once or not ran:
             continue
         if len(ran) > 1:
-            yield Violation("doubled", ran[1].at, ran[1].host, tx, "it ran before")
+            yield Violation("doubled", ran[1].at, ran[1].host, tx, "ran a second time")
         for answer in answers[tx]:
             if answer.status in ROLLED_BACK_STATUSES and answer.at > ran[0].at:
                 yield Violation("doubled", answer.at, ran[0].host, tx, "rolled back though it ran")
@@ -267,13 +269,15 @@
             else:
                 drained_since.setdefault((entry.proxy, entry.host), entry.at)
         elif isinstance(entry, Got):
-            process = entry.proxy, entry.host
-            lateness = entry.at - min(
-                drained_since.get(process, entry.at), ordered_out_at.get(process, entry.at)
-            )
+            link = entry.proxy, entry.host
+            lateness = entry.at - min(drained_since.get(link, entry.at), ordered_out_at.get(link, entry.at))
             if lateness > rules.drain_grace + SOCKET_SLACK_S:
                 yield Violation(
-                    "drains", entry.at, entry.host, entry.tx, f"{lateness:.2f} s after the proxy was told"
+                    "drains",
+                    entry.at,
+                    entry.host,
+                    entry.tx,
+                    f"{lateness:.2f} s after the proxy learned that the host is drained",
                 )
 
 
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -1,6 +1,6 @@
 """Random schedules of faults on the fleet's limits alone, in virtual time, checked against three rules:
 
-    over     no host ever works on more attempts of all proxies at once than it has places
+    over     no host ever works on more attempts at once, of all proxies together, than its limit of places
     spent    no window holds more attempts than amount and burst of the rate limit allow
     idle     at least ten seconds after the last fault, free places are used by members with demand
 
@@ -43,10 +43,10 @@
     """The part of the decision code that FleetLimits reads; any waiting transaction may use any host."""
 
     def __init__(self, hosts: int) -> None:
-        entries = [SimpleNamespace(hash=1000 + n) for n in range(hosts)]
+        entries = [SimpleNamespace(hash=1000 + number) for number in range(hosts)]
         self.ready = [
-            SimpleNamespace(id=n, entry=entry, attempts={}, verdict_until=0)
-            for n, entry in enumerate(entries)
+            SimpleNamespace(id=number, entry=entry, attempts={}, verdict_until=0)
+            for number, entry in enumerate(entries)
         ]
         self.hosts = {host.id: host for host in self.ready}
         self.queue, self.txs, self.attempts, self.now = [], {}, {}, 0
@@ -69,33 +69,38 @@
 class Member:
     """One process of a member: its limits, and a fake of the decision code with its demand."""
 
-    def __init__(self, schedule: "LeaseSchedule", n: int) -> None:
-        self.schedule, self.n, self.name, self.proxy = schedule, n, f"p{n}", FakeDecisions(schedule.hosts)
-        self.life, self.transaction_numbers = schedule.lives[n], count()
-        random = Random(f"{schedule.seed} {n} {self.life}")
+    def __init__(self, schedule: "LeaseSchedule", position: int) -> None:
+        self.schedule, self.position, self.name, self.proxy = (
+            schedule,
+            position,
+            f"p{position}",
+            FakeDecisions(schedule.hosts),
+        )
+        self.process_number, self.transaction_numbers = schedule.process_numbers[position], count()
+        random = Random(f"{schedule.seed} {position} {self.process_number}")
         self.limits = FleetLimits(
             self.proxy,
             self.proxy,
             schedule.limits,
             self.name,
-            self.life,
+            self.process_number,
             schedule.voters,
-            n,
+            position,
             schedule.size,
             HARD_LIMIT,
             random,
             self.send,
             schedule.names,
-            schedule.clock(n),
+            schedule.clock(position),
         )
 
     def send(self, name: str, message: list) -> None:
-        self.schedule.send(self.n, name, message)
+        self.schedule.send(self.position, name, message)
 
     def tick(self) -> None:
-        schedule, proxy, now = self.schedule, self.proxy, self.schedule.clock(self.n)
+        schedule, proxy, now = self.schedule, self.proxy, self.schedule.clock(self.position)
         proxy.now = now
-        while len(proxy.queue) < schedule.demand[self.n]:
+        while len(proxy.queue) < schedule.demand[self.position]:
             number = next(self.transaction_numbers)
             proxy.txs[number] = SimpleNamespace(
                 id=number, key=number, tried=[], state="waiting", limit_key=(interface.FIRST_ATTEMPT, 0)
@@ -118,7 +123,9 @@
                 number = proxy.queue.pop(0)[2]
                 del proxy.txs[number]
                 proxy.allowance.consume((interface.FIRST_ATTEMPT, 0))
-                duration = int(HARD_LIMIT / schedule.rates[self.n] * schedule.random.uniform(0.05, 0.97))
+                duration = int(
+                    HARD_LIMIT / schedule.rates[self.position] * schedule.random.uniform(0.05, 0.97)
+                )
                 host.attempts[number] = proxy.attempts[number] = host, now, now
                 schedule.attempt_started(host.id)
                 schedule.call_later(duration, self.attempt_finished, host, number)
@@ -127,8 +134,8 @@
         """The host has finished the work; the proxy may have been killed in the meantime."""
         self.schedule.attempts_by_host[host.id] -= 1
         del host.attempts[number], self.proxy.attempts[number]
-        if self.schedule.members[self.n] is self and self.n not in self.schedule.stopped:
-            now = self.schedule.clock(self.n)
+        if self.schedule.members[self.position] is self and self.position not in self.schedule.stopped:
+            now = self.schedule.clock(self.position)
             self.limits.handle(now, interface.AttemptEnded(number, 0, host.id, interface.COMMITTED, 1, True))
             self.start_attempts(now)
 
@@ -152,7 +159,9 @@
         random = self.random
         self.now, self.heap, self.event_sequence = 1_000_000, [], count()
         self.size, self.hosts = random.randint(2, 6), random.randint(1, 2)
-        self.voters = tuple(f"p{n}" for n in range(random.choice((1, 3)) if self.size > 2 else 1))
+        self.voters = tuple(
+            f"p{position}" for position in range(random.choice((1, 3)) if self.size > 2 else 1)
+        )
         self.limits = [
             Limit("places", HOST, random.randint(1, 5), floor=random.choice((0.0, 0.4))),
             Limit(
@@ -162,7 +171,7 @@
         self.rates = [random.choice(CLOCK_RATES) for _ in range(self.size)]
         self.clock_offsets = [random.choice((0, 36_000_000)) for _ in range(self.size)]
         self.members: list[Member | None] = [None] * self.size
-        self.lives, self.stopped = [0] * self.size, {}
+        self.process_numbers, self.stopped = [0] * self.size, {}
         self.demand = [0] * self.size
         self.attempts_by_host, self.attempt_times, self.violations = Counter(), [], []
         # (source, target) -> number of active cuts; active faults that lose, duplicate and delay
@@ -172,11 +181,11 @@
     def call_later(self, delay: int, callback, *arguments) -> None:
         heappush(self.heap, (self.now + max(0, delay), next(self.event_sequence), callback, arguments))
 
-    def clock(self, n: int) -> int:
-        return int(self.now * self.rates[n]) + self.clock_offsets[n]
+    def clock(self, position: int) -> int:
+        return int(self.now * self.rates[position]) + self.clock_offsets[position]
 
     def names(self) -> list[str]:
-        return [f"p{n}" for n in range(self.size)]
+        return [f"p{position}" for position in range(self.size)]
 
     # ---- rules
 
@@ -203,8 +212,8 @@
         """Runs the schedule and returns the violations of its rules."""
         random, self.begin = self.random, self.now
         self.end = self.begin + FAULT_PERIOD + QUIET_PERIOD
-        for n in range(self.size):
-            self.call_later(random.randrange(3_000), self.start, n)
+        for position in range(self.size):
+            self.call_later(random.randrange(3_000), self.start, position)
         for _ in range(random.randint(2, 8)):
             self.schedule_fault()
         for _ in range(random.randint(5, 30)):
@@ -228,10 +237,10 @@
     def schedule_fault(self) -> None:
         random = self.random
         begin = random.randrange(FAULT_PERIOD * 3 // 4)
-        duration, n = random.randrange(2_000, FAULT_PERIOD - begin), random.randrange(self.size)
+        duration, position = random.randrange(2_000, FAULT_PERIOD - begin), random.randrange(self.size)
         fault_name = random.choice(self.fault_names)
         if fault_name == "cut":
-            side = {k for k in range(self.size) if random.random() < 0.5}
+            side = {member for member in range(self.size) if random.random() < 0.5}
             cut_links = [
                 (a, b)
                 for a in range(self.size)
@@ -250,62 +259,62 @@
             self.call_later(begin, self.lossy_faults.append, fault)
             self.call_later(begin + duration, self.lossy_faults.remove, fault)
         elif fault_name == "kill":
-            self.call_later(begin, self.kill, n)
-            self.call_later(begin + min(duration, random.choice((500, 60_000))), self.start, n)
+            self.call_later(begin, self.kill, position)
+            self.call_later(begin + min(duration, random.choice((500, 60_000))), self.start, position)
         else:
-            self.call_later(begin, self.stop, n)
-            self.call_later(begin + min(duration, 90_000), self.resume, n)
+            self.call_later(begin, self.stop, position)
+            self.call_later(begin + min(duration, 90_000), self.resume, position)
 
     def change_cuts(self, links: list, change: int) -> None:
         for link in links:
             self.cut_links[link] = self.cut_links.get(link, 0) + change
 
-    def send(self, n: int, name: str, message: list) -> None:
+    def send(self, position: int, name: str, message: list) -> None:
         receiver, random = int(name[1:]), self.random
-        if self.cut_links.get((n, receiver)):
+        if self.cut_links.get((position, receiver)):
             return
         loss, duplication, max_delay = max(self.lossy_faults, default=(0.0, 0.0, 20))
         for _ in range(1 + (random.random() < duplication)):
             if random.random() >= loss:
                 self.call_later(3 + random.randrange(max_delay), self.receive, receiver, message)
 
-    def receive(self, n: int, message: list) -> None:
-        if n in self.stopped:
-            if len(self.stopped[n]) < 256:
-                self.stopped[n].append(message)
-        elif self.members[n] is not None:
-            member, now = self.members[n], self.clock(n)
+    def receive(self, position: int, message: list) -> None:
+        if position in self.stopped:
+            if len(self.stopped[position]) < 256:
+                self.stopped[position].append(message)
+        elif self.members[position] is not None:
+            member, now = self.members[position], self.clock(position)
             member.limits.received(now, message)
             member.start_attempts(now)
 
-    def start(self, n: int) -> None:
-        if self.members[n] is None:
-            self.lives[n] += 1
-            self.members[n] = self.member_class(self, n)
-            self.tick(n, self.lives[n])
+    def start(self, position: int) -> None:
+        if self.members[position] is None:
+            self.process_numbers[position] += 1
+            self.members[position] = self.member_class(self, position)
+            self.tick(position, self.process_numbers[position])
 
-    def tick(self, n: int, life: int) -> None:
-        if self.members[n] is None or self.lives[n] != life:
+    def tick(self, position: int, process_number: int) -> None:
+        if self.members[position] is None or self.process_numbers[position] != process_number:
             return
-        self.call_later(TICK_INTERVAL, self.tick, n, life)
-        if n not in self.stopped:
-            self.members[n].tick()
+        self.call_later(TICK_INTERVAL, self.tick, position, process_number)
+        if position not in self.stopped:
+            self.members[position].tick()
 
-    def kill(self, n: int) -> None:
-        self.members[n] = None
-        self.stopped.pop(n, None)
+    def kill(self, position: int) -> None:
+        self.members[position] = None
+        self.stopped.pop(position, None)
 
-    def stop(self, n: int) -> None:
-        if self.members[n] is not None:
-            self.stopped.setdefault(n, [])
+    def stop(self, position: int) -> None:
+        if self.members[position] is not None:
+            self.stopped.setdefault(position, [])
 
-    def resume(self, n: int) -> None:
+    def resume(self, position: int) -> None:
         """Resumes a member, which may use the leases it believes to hold before it reads its socket."""
-        queued_messages = self.stopped.pop(n, None)
-        if queued_messages is not None and self.members[n] is not None:
-            self.members[n].start_attempts(self.clock(n))
+        queued_messages = self.stopped.pop(position, None)
+        if queued_messages is not None and self.members[position] is not None:
+            self.members[position].start_attempts(self.clock(position))
             for message in queued_messages:
-                self.receive(n, message)
+                self.receive(position, message)
 
 
 def run_seed(seed: int) -> tuple[int, list[Violation]]:
--- a/basalthook/lab/load.py
+++ b/basalthook/lab/load.py
@@ -33,8 +33,10 @@
         # requests so far; whether the client left before its answer
         self.request_count, self.has_left = 0, False
 
-    def send(self, profile, key: str, work: float, due: float, tx: str, first: str, retry_count: int) -> None:
-        """Sends transaction `tx` on this connection; `first` is the id of its first try."""
+    def send(
+        self, profile, key: str, work: float, due: float, tx: str, first_tx: str, retry_count: int
+    ) -> None:
+        """Sends transaction `tx` on this connection; `first_tx` is the id of its first try."""
         now, limit = self.clients.clock(), self.clients.draw_time_limit(profile)
         once, keyed = profile.effect == "once", profile.effect == "by_key"
         self.open_request = Asked(
@@ -44,11 +46,11 @@
             now + limit,
             profile.name,
             due,
-            first,
+            first_tx,
             profile.window if keyed else None,
         )
         self.request_count += 1
-        self.request_args = profile, key, work, due, first, retry_count
+        self.retry_arguments = profile, key, work, due, first_tx, retry_count
         content_length = "Content-Length: 0\r\n" if once else ""
         self.clients.wire.append(self.open_request)
         self.transport.write(
@@ -64,7 +66,10 @@
             loop.call_later(behaviour_rng.random() * limit, self.leave, self.open_request, starts_next)
 
     def leave(self, request: Asked, starts_next: bool) -> None:
-        """Closes before the answer; `starts_next`: after writing the first bytes of the next request."""
+        """Closes the connection before the answer.
+
+        `starts_next`: first writes the beginning of the next request.
+        """
         if self.open_request is not request or self.transport.is_closing():
             return
         if starts_next:
@@ -73,12 +78,12 @@
         self.clients.wire.append(ClientLeft(self.clients.clock(), request.tx))
         self.transport.close()
 
-    def message_received(self, first: str, fields: dict, body: bytes) -> None:
+    def message_received(self, first_line: str, fields: dict, body: bytes) -> None:
         request, self.open_request = self.open_request, None
         if request is None:
             return self.transport.abort()
         self.abort_timer.cancel()
-        status = int(first.split(" ")[1])
+        status = int(first_line.split(" ")[1])
         self.clients.note_answer(
             self, request, status, body.startswith(request.tx.encode() + b" by "), fields
         )
@@ -98,7 +103,7 @@
             return
         if self.request_count > 1 and now < request.at + UNREAD_CLOSE_S and not self.buffer:
             self.clients.wire.append(ClosedBeforeRead(now, request.tx))
-            self.clients.start_transaction(*self.request_args)
+            self.clients.start_transaction(*self.retry_arguments)
         else:
             self.clients.wire.append(Answered(now, request.tx, 0, False))
 
@@ -138,7 +143,7 @@
         """`addresses` has one entry per proxy; None while that proxy takes no new connections."""
         self.load, self.wire, self.clock, self.addresses = load, wire, clock, addresses
         self.proxy_rng = Random(f"proxies of {seed}")
-        self.schedule_rng, self.request_rng, self.behaviour_rng = (
+        self.arrival_rng, self.request_rng, self.behaviour_rng = (
             Random(f"{name} of {seed}") for name in ("schedule", "draws", "manners")
         )
         self.hurry_rng = Random(f"hurries of {seed}")
@@ -166,7 +171,7 @@
                 self.schedule_silent_connection(proxy, SilentConnection)
             for _ in range(self.load.stalled):
                 self.schedule_silent_connection(proxy, StalledConnection)
-        while (due := due + self.schedule_rng.expovariate(rate(due - begin))) < begin + seconds:
+        while (due := due + self.arrival_rng.expovariate(rate(due - begin))) < begin + seconds:
             if (wait := due - self.clock()) > 0:
                 await asyncio.sleep(wait)
             (profile,) = self.request_rng.choices(self.load.profiles, [p.share for p in self.load.profiles])
@@ -205,7 +210,7 @@
                 await loop.create_connection(lambda: connection_type(self, proxy), *self.addresses[proxy])
                 return
         except OSError:
-            pass  # nobody listens, or the connection limit is reached
+            pass  # the proxy does not listen, or the connection limit is reached
         self.schedule_silent_connection(proxy, connection_type)
 
     def start_task(self, work) -> None:
@@ -213,10 +218,10 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def start_transaction(self, profile, key, work, due, first, retry_count) -> None:
+    def start_transaction(self, profile, key, work, due, first_tx, retry_count) -> None:
         self.transaction_count += 1
         tx = f"lab-{self.transaction_count}"
-        self.start_task(self.send_transaction(profile, key, work, due, tx, first or tx, retry_count))
+        self.start_task(self.send_transaction(profile, key, work, due, tx, first_tx or tx, retry_count))
 
     def pick_proxy(self) -> int | None:
         """A random proxy; if it takes no requests, the next one that does; None if no proxy does.
@@ -244,7 +249,7 @@
             idle = self.idle_connections[proxy]
             client = idle.pop() if idle else await self.connect(proxy)
             if client is None:
-                return  # nobody listens: the transaction was never sent, so it is not recorded
+                return  # not sent, so it is not recorded
             # the proxy was stopped or killed since it was picked
             is_stale = client.request_count == 0 and not self.addresses[proxy]
             if is_stale or client.peer_has_closed():  # the proxy would not read a request written now
@@ -253,7 +258,7 @@
         client.send(*args)
 
     async def connect(self, proxy: int) -> Client | None:
-        """Opens a connection to this proxy; None if nobody listens."""
+        """Opens a connection to this proxy; None if it does not listen."""
         try:
             loop = asyncio.get_running_loop()
             _, client = await loop.create_connection(lambda: Client(self, proxy), *self.addresses[proxy])
@@ -271,11 +276,11 @@
         if status == 200:
             latency = int((now - request.due) * MICROSECONDS_PER_SECOND)
             self.latency_us.record_value(min(MAX_LATENCY_S * MICROSECONDS_PER_SECOND, max(1, latency)))
-        profile, key, work, due, first, retry_count = client.request_args
+        profile, key, work, due, first_tx, retry_count = client.retry_arguments
         if status == 503 and retry_count < self.load.retries:
             wait = (
                 float(fields.get("retry-after", 0)) if self.behaviour_rng.random() < self.load.obey else 0.0
             )
             asyncio.get_running_loop().call_later(
-                wait, self.start_transaction, profile, key, work, due, first, retry_count + 1
+                wait, self.start_transaction, profile, key, work, due, first_tx, retry_count + 1
             )
--- a/basalthook/lab/model.py
+++ b/basalthook/lab/model.py
@@ -39,12 +39,17 @@
         self.slowdown, self.silent, self.vanished = 1.0, 0, 0  # set by faults, which may overlap
         # one share per active fault
         self.error_shares, self.answer_loss_shares = [], []
-        self.life = 0  # number of processes started here so far
+        self.process_number = 0  # number of the current process, counted from 1
         self.start(None)
 
     def start(self, now: float | None) -> None:
         """Starts a new process at `now`; None: it has been running long enough to be warm."""
-        self.started_at, self.occupied_slots, self.key_last_seen, self.life = now, 0, {}, self.life + 1
+        self.started_at, self.occupied_slots, self.key_last_seen, self.process_number = (
+            now,
+            0,
+            {},
+            self.process_number + 1,
+        )
         self.choked = False
         self.core_free_at = [0.0] * self.cores  # a heap: when each core becomes free
 
@@ -86,7 +91,7 @@
         heapreplace(self.core_free_at, ends_at)
         return ends_at
 
-    def release(self, life: int) -> None:
-        """Frees a slot, unless process number `life`, which took it, has ended since."""
-        self.occupied_slots -= life == self.life
+    def release(self, process_number: int) -> None:
+        """Frees a slot, unless the process that took it has ended since."""
+        self.occupied_slots -= process_number == self.process_number
         self.choked &= self.occupied_slots > 0  # the slowdown ends once the machine is idle
--- a/basalthook/lab/overrun.py
+++ b/basalthook/lab/overrun.py
@@ -7,7 +7,7 @@
 from .scenario import Scenario, program_limit
 from .wire import Answered, Asked, Done, Got
 
-PRECISION = 0.001  # of the excess
+PRECISION = 0.001  # to which `excess` is computed, as a fraction of the limit
 
 
 def figures(wire: list, scenario: Scenario) -> dict[str, dict]:
@@ -18,9 +18,9 @@
     """
     names, results = [p.name for p in scenario.load.profiles], {}
     refused = {
-        int(event.at)
-        for event in wire
-        if isinstance(event, Answered) and event.status in ROLLED_BACK_STATUSES
+        int(entry.at)
+        for entry in wire
+        if isinstance(entry, Answered) and entry.status in ROLLED_BACK_STATUSES
     }
     for limit in scenario.fleet.limits:
         rule = program_limit(limit, names)
@@ -45,17 +45,17 @@
 def most_held(wire: list, amount: float, refused: set[int]) -> tuple[int, float | None]:
     """The most attempts any host held at once, and the mean share of places held in the `refused` seconds."""
     held_by_host, max_held, held_by_second, hosts = Counter(), 0, defaultdict(list), set()
-    for event in wire:
-        if isinstance(event, Got) and event.ran:
-            held_by_host[event.host] += 1
-            max_held = max(max_held, held_by_host[event.host])
-            hosts.add(event.host)
-        elif isinstance(event, Done):
-            held_by_host[event.host] = held_by_host[event.host] - 1 if event.tx else 0
+    for entry in wire:
+        if isinstance(entry, Got) and entry.ran:
+            held_by_host[entry.host] += 1
+            max_held = max(max_held, held_by_host[entry.host])
+            hosts.add(entry.host)
+        elif isinstance(entry, Done):
+            held_by_host[entry.host] = held_by_host[entry.host] - 1 if entry.tx else 0
         else:
             continue
-        if int(event.at) in refused:
-            held_by_second[int(event.at)].append(held_by_host.total())
+        if int(entry.at) in refused:
+            held_by_second[int(entry.at)].append(held_by_host.total())
     means = [sum(counts) / len(counts) for counts in held_by_second.values()]
     places = amount * len(hosts)
     return max_held, round(sum(means) / len(means) / places, 3) if means and places else None
@@ -63,22 +63,22 @@
 
 def first_attempt_times(wire: list, profiles: set[str]) -> list[float]:
     """Send times of each transaction's first attempt, for these profiles or for all if there are none."""
-    asked = {event.tx: event.profile for event in wire if isinstance(event, Asked)}
+    profile_by_tx = {entry.tx: entry.profile for entry in wire if isinstance(entry, Asked)}
     first = {}
-    for event in wire:
-        if isinstance(event, Got) and (not profiles or asked.get(event.tx) in profiles):
-            first.setdefault(event.tx, event.at if event.left is None else event.left)
+    for entry in wire:
+        if isinstance(entry, Got) and (not profiles or profile_by_tx.get(entry.tx) in profiles):
+            first.setdefault(entry.tx, entry.at if entry.left is None else entry.left)
     return sorted(first.values())
 
 
 def retry_times(wire: list) -> list[float]:
     """Times of all attempts after the first of their transaction."""
     seen, results = set(), []
-    for event in wire:
-        if isinstance(event, Got):
-            if event.tx in seen:
-                results.append(event.at)
-            seen.add(event.tx)
+    for entry in wire:
+        if isinstance(entry, Got):
+            if entry.tx in seen:
+                results.append(entry.at)
+            seen.add(entry.tx)
     return results
 
 
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -26,7 +26,7 @@
 from .relays import Relays
 from .result import Result, build_result, mean_and_max
 from .scenario import Scenario, ScenarioError, fault_events
-from .standins import Fleet
+from .standins import SocketFleet
 from .start import proxy_settings
 from .talking import limit_voters
 from .underclock import CLOCK_VARIABLE, encode_clock_faults
@@ -48,7 +48,7 @@
 LOG_READ_DELAY_S = 0.1  # tolerance from the writing of a log line to its reading by the rig
 
 
-class Rig(Fleet):
+class Rig(SocketFleet):
     """Hosts, discovery, load and relays of a scenario; starts and signals the proxy processes."""
 
     def __init__(self, scenario: Scenario, wire: list, clock, folder: Path) -> None:
@@ -56,11 +56,15 @@
         self.folder = folder
         self.relays = Relays(scenario.proxies, self.links, clock, scenario.seed)
         self.running: list[asyncio.subprocess.Process | None] = [None] * scenario.proxies
-        self.addresses: list = [None] * scenario.proxies  # of the proxies that clients may call
+        self.addresses: list = [
+            None
+        ] * scenario.proxies  # by proxy; None while clients must not connect to it
         self.consoles: list = [None] * scenario.proxies
         self.clients: Clients | None = None
         self.log_events: list[tuple] = []  # (time read, proxy, event, fields) from the proxies' logs
-        self.readers: set[asyncio.Task] = set()  # of logs; each is removed when its process ends
+        self.readers: set[asyncio.Task] = (
+            set()
+        )  # tasks that read a log; each is removed when its process ends
         self.stopped: set[int] = set()
         self.faults: list[dict] = []  # faults that proxies logged, and unexpected exits and output
         self.begin_ns, self.begin_at = 0, 0.0
@@ -72,21 +76,21 @@
 
     # ---- proxies
 
-    def write_files(self, n: int) -> Path:
+    def write_files(self, proxy: int) -> Path:
         """Writes the start-up file, and the fleet file and key if there is a fleet; returns their folder."""
-        folder = self.folder / f"p{n}"
+        folder = self.folder / f"p{proxy}"
         folder.mkdir(exist_ok=True)
         zones = sorted(set(self.zones))
-        settings = proxy_settings(self.scenario, n, zones[n % len(zones)])
+        settings = proxy_settings(self.scenario, proxy, zones[proxy % len(zones)])
         settings["allowed"]["peers"] = self.scenario.fleet is not None
         start_up = {
-            "name": f"p{n}",
+            "name": f"p{proxy}",
             "listen": "127.0.0.1:0",
             "console": "127.0.0.1:0",
-            "discovery": self.discovery_addresses[n],
-            "seed": self.scenario.seed * 1000 + n,
+            "discovery": self.discovery_addresses[proxy],
+            "seed": self.scenario.seed * 1000 + proxy,
             "limits": {"sockets": SOCKET_LIMIT},
-            "known": self.host_list(range(self.scenario.host_count), True, n),
+            "known": self.host_list(range(self.scenario.host_count), True, proxy),
             "settings": settings,
         }
         (folder / "start.json").write_bytes(orjson.dumps(start_up))
@@ -96,10 +100,10 @@
             key.chmod(0o600)
             seeds = [f"127.0.0.1:{port}" for _, port in self.relays.public_addresses[:SEED_COUNT]]
             fleet_lines = [
-                f'listen = "127.0.0.1:{self.relays.member_addresses[n][1]}"',
+                f'listen = "127.0.0.1:{self.relays.member_addresses[proxy][1]}"',
                 f"seeds = {seeds}",
                 'key_file = "key"',
-                f'address = "127.0.0.1:{self.relays.public_addresses[n][1]}"',
+                f'address = "127.0.0.1:{self.relays.public_addresses[proxy][1]}"',
                 f"shares = {self.scenario.fleet.shares}",
             ]
             if self.scenario.fleet.limits:
@@ -113,19 +117,21 @@
             (folder / "fleet.toml").write_text("\n".join(fleet_lines))
         return folder
 
-    async def start_process(self, n: int) -> None:
+    async def start_process(self, proxy: int) -> None:
         """Starts a process of this proxy, under `underclock` if its clocks or system calls have faults."""
-        folder = await asyncio.to_thread(self.write_files, n)  # a slow disk must not block the event loop
-        self.note_proxy_started(n)
+        folder = await asyncio.to_thread(self.write_files, proxy)  # a slow disk must not block the event loop
+        self.note_proxy_started(proxy)
         environment = {**os.environ, "TMPDIR": str(folder), "PYTHONPATH": str(Path(__file__).parents[2])}
-        module, clock_faults = "basalthook", self.clock_faults_of(n)
+        module, clock_faults = "basalthook", self.clock_faults_of(proxy)
         if clock_faults:
             module, environment[CLOCK_VARIABLE] = (
                 "basalthook.lab.underclock",
                 encode_clock_faults(clock_faults),
             )
         if self.scenario.system_calls is not None:
-            chances = msgspec.structs.replace(self.scenario.system_calls, seed=self.scenario.seed * 1000 + n)
+            chances = msgspec.structs.replace(
+                self.scenario.system_calls, seed=self.scenario.seed * 1000 + proxy
+            )
             module = "basalthook.lab.underclock"
             environment[syscalls.ENVIRONMENT_VARIABLE] = msgspec.json.encode(chances).decode()
         command = [sys.executable, "-m", module, "serve", "--file", str(folder / "start.json")]
@@ -142,118 +148,130 @@
             preexec_fn=prepare_child,
         )
         stderr_file.close()
-        self.running[n] = process
-        reader = asyncio.get_running_loop().create_task(self.read_log(n, process))
+        self.running[proxy] = process
+        reader = asyncio.get_running_loop().create_task(self.read_log(proxy, process))
         self.readers.add(reader)
         reader.add_done_callback(self.readers.discard)
 
-    def clock_faults_of(self, n: int) -> list[tuple]:
+    def clock_faults_of(self, proxy: int) -> list[tuple]:
         """Clock faults for `underclock`; a fault at time 0 already applies while the process starts."""
 
-        def moment(at: float) -> int:
+        def monotonic_ns(at: float) -> int:
             return self.begin_ns + int(at * 1e9)
 
         return [
-            (moment(f.at) if f.at else 0, moment(f.at + f.lasts), f.ahead, f.rate)
-            for f in self.scenario.faults
-            if isinstance(f, ClockFault) and n in f.proxies
+            (
+                monotonic_ns(fault.at) if fault.at else 0,
+                monotonic_ns(fault.at + fault.lasts),
+                fault.ahead,
+                fault.rate,
+            )
+            for fault in self.scenario.faults
+            if isinstance(fault, ClockFault) and proxy in fault.proxies
         ]
 
-    async def read_log(self, n: int, process) -> None:
+    async def read_log(self, proxy: int, process) -> None:
         """Reads the log of a process line by line until it ends."""
         while line := await process.stdout.readline():
             try:
                 fields = orjson.loads(line)
             except orjson.JSONDecodeError:
-                self.faults.append({"proxy": n, "line": line[:200].decode("utf-8", "replace")})
+                self.faults.append({"proxy": proxy, "line": line[:200].decode("utf-8", "replace")})
                 continue
             event = fields.pop("event")
-            self.log_events.append((self.clock(), n, event, fields))
-            if event == "ready" and self.running[n] is process:
-                self.addresses[n], self.consoles[n] = tuple(fields["listen"]), tuple(fields["console"])
+            self.log_events.append((self.clock(), proxy, event, fields))
+            if event == "ready" and self.running[proxy] is process:
+                self.addresses[proxy], self.consoles[proxy] = (
+                    tuple(fields["listen"]),
+                    tuple(fields["console"]),
+                )
             elif event == "fault":
-                self.faults.append({"proxy": n, **fields})
-        if self.running[n] is process and await process.wait() not in (0, -signal.SIGKILL, -signal.SIGTERM):
-            self.faults.append({"proxy": n, "exit": process.returncode})
-
-    def excuse_open_transactions(self, n: int) -> None:
+                self.faults.append({"proxy": proxy, **fields})
+        if self.running[proxy] is process and await process.wait() not in (
+            0,
+            -signal.SIGKILL,
+            -signal.SIGTERM,
+        ):
+            self.faults.append({"proxy": proxy, "exit": process.returncode})
+
+    def excuse_open_transactions(self, proxy: int) -> None:
         """Excuses the transactions open at a proxy about to be killed or stopped, as it can't answer them."""
-        self.addresses[n] = None
+        self.addresses[proxy] = None
         for client in self.clients.connections:
-            if client.proxy == n and client.open_request is not None:
+            if client.proxy == proxy and client.open_request is not None:
                 self.wire.append(AnswerWaived(self.clock(), client.open_request.tx))
-        for client in self.clients.idle_connections[n]:
+        for client in self.clients.idle_connections[proxy]:
             client.transport.close()
-        self.clients.idle_connections[n].clear()
+        self.clients.idle_connections[proxy].clear()
 
     # ---- faults of proxies
 
-    def kill_proxy(self, n: int) -> None:
-        self.excuse_open_transactions(n)
-        if self.running[n] is not None:
-            send_signal(self.running[n], signal.SIGKILL)
-            self.running[n] = None
+    def kill_proxy(self, proxy: int) -> None:
+        self.excuse_open_transactions(proxy)
+        if self.running[proxy] is not None:
+            send_signal(self.running[proxy], signal.SIGKILL)
+            self.running[proxy] = None
 
-    def terminate(self, n: int) -> None:
+    def terminate(self, proxy: int) -> None:
         """Sends SIGTERM, lets clients connect a little longer, and sends SIGKILL as early as is allowed."""
-        process, loop = self.running[n], asyncio.get_running_loop()
+        process, loop = self.running[proxy], asyncio.get_running_loop()
         if process is None or process.returncode is not None:
             return
         send_signal(process, signal.SIGTERM)
-        loop.call_later(NEW_CONNECTIONS_S, self.addresses.__setitem__, n, None)
+        loop.call_later(NEW_CONNECTIONS_S, self.addresses.__setitem__, proxy, None)
         longest = max(profile.hard_limit for profile in self.scenario.load.profiles)
-        loop.call_later(longest + KILL_DELAY_S, self.kill_after_termination, n, process)
+        loop.call_later(longest + KILL_DELAY_S, self.kill_after_termination, proxy, process)
 
-    def kill_after_termination(self, n: int, process) -> None:
+    def kill_after_termination(self, proxy: int, process) -> None:
         send_signal(process, signal.SIGKILL)
-        if self.running[n] is process:
-            self.running[n] = None
+        if self.running[proxy] is process:
+            self.running[proxy] = None
 
-    def start_proxy(self, n: int, forgets: bool) -> None:
-        self.run_in_background(self.restart(n, forgets))
+    def start_proxy(self, proxy: int, forgets: bool) -> None:
+        self.run_in_background(self.restart(proxy, forgets))
 
-    async def restart(self, n: int, forgets: bool) -> None:
+    async def restart(self, proxy: int, forgets: bool) -> None:
         if forgets:
-            await asyncio.to_thread(shutil.rmtree, self.folder / f"p{n}", True)
-        await self.start_process(n)
+            await asyncio.to_thread(shutil.rmtree, self.folder / f"p{proxy}", True)
+        await self.start_process(proxy)
 
-    def reconfigure(self, n: int, times: int, lasts: float) -> None:
-        self.run_in_background(self.reconfigure_repeatedly(n, times, lasts / times))
+    def reconfigure(self, proxy: int, times: int, lasts: float) -> None:
+        self.run_in_background(self.reconfigure_repeatedly(proxy, times, lasts / times))
 
-    async def reconfigure_repeatedly(self, n: int, times: int, pause: float) -> None:
-        """Writes new start-up files, each with another discovery address, and sends SIGHUP after each."""
+    async def reconfigure_repeatedly(self, proxy: int, times: int, pause: float) -> None:
+        """Writes `times` start-up files, each with a new discovery address, and sends SIGHUP after each."""
         for _ in range(times):
-            await self.open_discovery(n)
-            await asyncio.to_thread(self.write_files, n)
-            if self.running[n] is None or self.running[n].returncode is not None:
+            await self.open_discovery(proxy)
+            await asyncio.to_thread(self.write_files, proxy)
+            if self.running[proxy] is None or self.running[proxy].returncode is not None:
                 return
-            self.discovery_moved_at[n] = self.clock()
-            send_signal(self.running[n], signal.SIGHUP)
+            self.discovery_moved_at[proxy] = self.clock()
+            send_signal(self.running[proxy], signal.SIGHUP)
             await asyncio.sleep(pause)
 
-    def pause_proxy(self, n: int) -> None:
-        send_signal(self.running[n], signal.SIGSTOP)
+    def pause_proxy(self, proxy: int) -> None:
+        send_signal(self.running[proxy], signal.SIGSTOP)
 
-    def unpause_proxy(self, n: int) -> None:
-        send_signal(self.running[n], signal.SIGCONT)
+    def unpause_proxy(self, proxy: int) -> None:
+        send_signal(self.running[proxy], signal.SIGCONT)
 
-    def stop_proxy(self, n: int) -> None:
-        self.excuse_open_transactions(n)
-        self.stopped.add(n)
-        send_signal(self.running[n], signal.SIGSTOP)
+    def stop_proxy(self, proxy: int) -> None:
+        self.excuse_open_transactions(proxy)
+        self.stopped.add(proxy)
+        send_signal(self.running[proxy], signal.SIGSTOP)
 
-    def resume_proxy(self, n: int) -> None:
-        send_signal(self.running[n], signal.SIGCONT)
-        self.stopped.discard(n)
+    def resume_proxy(self, proxy: int) -> None:
+        send_signal(self.running[proxy], signal.SIGCONT)
+        self.stopped.discard(proxy)
         at = next(
             fields["listen"]
-            for _, proxy, event, fields in reversed(self.log_events)
-            if proxy == n and event == "ready"
+            for _, log_proxy, event, fields in reversed(self.log_events)
+            if log_proxy == proxy and event == "ready"
         )
         # a client that connects before the process runs again would wait in its backlog and be answered late
-        asyncio.get_running_loop().call_later(LOG_READ_DELAY_S, self.addresses.__setitem__, n, tuple(at))
+        asyncio.get_running_loop().call_later(LOG_READ_DELAY_S, self.addresses.__setitem__, proxy, tuple(at))
 
-    def set_clock(self, n: int, ahead: float, rate: float) -> None:
+    def set_clock(self, proxy: int, ahead: float, rate: float) -> None:
         """Does nothing: a process receives its clock faults with their times when it starts."""
 
     def run_in_background(self, coroutine) -> None:
@@ -285,12 +303,12 @@
         """Figures on the fleet, from the proxies' logs and the relays; ages and times are in seconds."""
         relays, seconds, count = self.relays, self.scenario.seconds, self.scenario.proxies
         staleness, over_age = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
-        for at, n, event, fields in self.log_events:
+        for at, proxy, event, fields in self.log_events:
             for fact_id in fields.get("facts", ()) if event == "verdict" and fields["state"] == OUT else ():
                 if fact_id in relays.first_published:
                     kind, age = (
                         relays.fact_kinds[fact_id],
-                        self.verdict_time(at, n, fields) - relays.first_published[fact_id],
+                        self.verdict_time(at, proxy, fields) - relays.first_published[fact_id],
                     )
                     staleness[kind] = max(staleness[kind], age)
                     over_age += age > FACT_LIFETIMES[kind] / 10_000 * (1 + CLOCK_DRIFT) + LOG_READ_DELAY_S
@@ -300,8 +318,8 @@
             if event == "member" and fields["state"] == "suspect"
         )
         false = sum(self.was_reachable(name, at) for at, name in suspected.elements())
-        rates = [relays.sent_bytes[n] / seconds for n in range(count)]
-        sent = [relays.sent[n] / seconds for n in range(count)]
+        rates = [relays.sent_bytes[proxy] / seconds for proxy in range(count)]
+        sent = [relays.sent[proxy] / seconds for proxy in range(count)]
         return {
             "staleness": {kind: round(age, 3) for kind, age in staleness.items()},
             "over_age": over_age,
@@ -311,7 +329,7 @@
             "messages": {"datagrams_s": mean_and_max(sent), "bytes_s": mean_and_max(rates)},
         }
 
-    def verdict_time(self, at: float, n: int, fields: dict) -> float:
+    def verdict_time(self, at: float, proxy: int, fields: dict) -> float:
         """When a proxy acted on a verdict: normally the time at which its log line was read.
 
         A line written before a stop may be read only after it, so just after a stop the proxy's own time
@@ -321,7 +339,7 @@
             resumed_at = self.begin_at + fault.at + fault.lasts
             if (
                 isinstance(fault, StopProxy)
-                and n in fault.proxies
+                and proxy in fault.proxies
                 and resumed_at <= at < resumed_at + 2 * LOG_READ_DELAY_S
             ):
                 return min(at, fields["at"] - self.wall_clock_offset)
@@ -341,7 +359,7 @@
         detect, agree = [], []
         for fault in self.scenario.faults:
             first: dict[str, dict[int, float]] = {}
-            for at, n, event, fields in self.log_events:
+            for at, proxy, event, fields in self.log_events:
                 host = fields.get("id", "")
                 if (
                     event == "verdict"
@@ -349,7 +367,7 @@
                     and at >= begin + fault.at
                     and (host.startswith("host-") and int(host[5:]) in fault.hosts)
                 ):
-                    first.setdefault(host, {}).setdefault(n, at - begin - fault.at)
+                    first.setdefault(host, {}).setdefault(proxy, at - begin - fault.at)
             times_of_last = [
                 max(seen.values()) for seen in first.values() if len(seen) == self.scenario.proxies
             ]
@@ -363,8 +381,8 @@
 def prepare_child() -> None:
     """Runs in the child before it executes the program.
 
-    The child is killed when the lab ends. It ignores SIGHUP, as under the deploy file, because a SIGHUP while
-    the interpreter starts would end it.
+    The kernel kills the child when the lab ends. The child ignores SIGHUP, as the run command in
+    deploy/balancer.toml does, because a SIGHUP while the interpreter starts would end it.
     """
     if LIBC is not None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
@@ -385,7 +403,7 @@
 def play(scenario: Scenario, rigs: list | None = None) -> Result:
     """Runs the scenario; the rig is appended to `rigs`, if given, for inspection after the run.
 
-    Raises BadScenario for faults that this depth doesn't support, and if a proxy is not ready in time.
+    Raises ScenarioError for faults that this depth doesn't support, and if a proxy is not ready in time.
     """
     if any(isinstance(fault, Vanish | LongWay | Maintain) for fault in scenario.faults):
         raise ScenarioError(
@@ -397,7 +415,7 @@
 async def _play(scenario: Scenario, rigs: list | None) -> Result:
     loop, wire, folder = asyncio.get_running_loop(), [], Path(tempfile.mkdtemp(prefix="basalthook-lab-"))
     rig = Rig(scenario, wire, loop.time, folder)
-    fault_handles, load_task = [], None
+    fault_timers, load_task = [], None
     try:
         await rig.open()
         begin = rig.begin_at = loop.time() + START_DELAY_S + START_DELAY_PER_PROXY_S * scenario.proxies
@@ -410,22 +428,22 @@
             raise ScenarioError(
                 f"{scenario.name}: proxies not ready in time: {', '.join(not_ready)}; {rig.faults[:1]}"
             )
-        fault_handles = [
-            loop.call_at(begin + at, act, rig, *arguments)
-            for at, act, arguments in fault_events(scenario.faults)
+        fault_timers = [
+            loop.call_at(begin + at, function, rig, *arguments)
+            for at, function, arguments in fault_events(scenario.faults)
         ]
         load_task = loop.create_task(clients.run(scenario.seconds, scenario.rate_at))
         await load_task
     finally:
         if load_task is not None:
             load_task.cancel()
-        for handle in fault_handles:
-            handle.cancel()
+        for timer in fault_timers:
+            timer.cancel()
         await rig.end()
         shutil.rmtree(folder, ignore_errors=True)
     if rigs is not None:
         rigs.append(rig)
     gossip_figures = rig.figures(begin) if scenario.fleet else None
     if scenario.fleet and scenario.fleet.limits:
-        gossip_figures["limits"] = overrun.figures(sorted(wire, key=lambda e: e.at), scenario)
+        gossip_figures["limits"] = overrun.figures(sorted(wire, key=lambda entry: entry.at), scenario)
     return build_result(scenario, wire, begin, "processes", rig.faults, fleet_figures=gossip_figures)
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -73,7 +73,7 @@
         self.sockets: list[RelaySocket] = []
         self.member_addresses: list[tuple[str, int]] = []
         self.public_addresses: list[tuple[str, int]] = []
-        self.by_port: dict[int, int] = {}
+        self.number_by_port: dict[int, int] = {}
         self.sent, self.sent_bytes = Counter(), Counter()
         self.first_published: dict[
             int, float
@@ -90,14 +90,14 @@
             relay_socket = RelaySocket(self, number)
             self.sockets.append(relay_socket)
             self.public_addresses.append(relay_socket.socket.getsockname())
-        self.by_port = {address[1]: number for number, address in enumerate(self.member_addresses)}
+        self.number_by_port = {address[1]: number for number, address in enumerate(self.member_addresses)}
 
     def close(self) -> None:
         for relay_socket in self.sockets:
             relay_socket.close()
 
     def relay_datagram(self, receiver: int, data: bytes, source, sent_at: float) -> None:
-        sender = self.by_port.get(source[1])
+        sender = self.number_by_port.get(source[1])
         if sender is None:  # not sent by a member
             return
         self.sent[sender] += 1
--- a/basalthook/lab/result.py
+++ b/basalthook/lab/result.py
@@ -92,5 +92,5 @@
 
 
 def mean_and_max(figures: list[float]) -> dict[str, float]:
-    """For JSON results."""
+    """The mean and the maximum, rounded, under their keys in the JSON result."""
     return {"mean": round(sum(figures) / len(figures), 1), "most": round(max(figures), 1)}
--- a/basalthook/lab/scenario.py
+++ b/basalthook/lab/scenario.py
@@ -29,8 +29,8 @@
     speed: Positive = 1.0
     slots: Count = 64  # transactions in progress or waiting at once; more are rejected
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])  # assigned in turn
-    choke: Count | None = None  # with so many transactions it slows down, until it has none
-    choke_slow: Positive = 3.0  # by this factor
+    choke: Count | None = None  # number of transactions at which the host slows down, until it has none
+    choke_slow: Positive = 3.0  # factor of that slowdown
 
 
 class Profile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -46,19 +46,21 @@
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What the clients do."""
+    """Behaviour of the clients; shares are of all transactions or clients."""
 
     rate: Positive
     profiles: Annotated[list[Profile], msgspec.Meta(min_length=1)]
     keys: Count = 500  # drawn from a Zipf distribution
     zipf: Seconds = 1.0  # its exponent; 0: uniform
-    retries: Annotated[int, msgspec.Meta(ge=0, le=5)] = 0  # of a rolled-back transaction
-    obey: Share = 1.0  # of the clients wait as long as Retry-After says
-    leave: Share = 0.0  # of the clients leave before their answer, at a random time
-    ahead: Share = 0.0  # of those: have begun to write their next request
-    hurried: Share = 0.0  # of the clients wait for 0.1 s at most
+    retries: Annotated[int, msgspec.Meta(ge=0, le=5)] = 0  # most retries of a rolled-back transaction
+    obey: Share = 1.0  # clients that wait as long as Retry-After says
+    leave: Share = 0.0  # clients that leave before their answer, at a random time
+    ahead: Share = 0.0  # of these, the share that has begun to write its next request
+    hurried: Share = 0.0  # clients that wait for 0.1 s at most
     idle: Annotated[int, msgspec.Meta(ge=0)] = 0  # additional connections to each proxy that send nothing
-    stalled: Annotated[int, msgspec.Meta(ge=0)] = 0  # ... and that send half a request
+    stalled: Annotated[int, msgspec.Meta(ge=0)] = (
+        0  # additional connections to each proxy that send half a request
+    )
 
 
 class Rules(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -76,8 +78,8 @@
     """How discovery behaves."""
 
     mode: Annotated[str, msgspec.Meta(pattern=r"^(pushed|on_request)$")] = "pushed"
-    notice: Seconds = 0.3  # until it publishes a change; in virtual time up to as much again
-    fails: Share = 0.0  # of list requests; in virtual time only
+    notice: Seconds = 0.3  # until it publishes a change; in virtual time it takes up to twice as long
+    fails: Share = 0.0  # share of list requests that fail; in virtual time only
     ask_within: Positive = 10.0  # setting of the proxies: how often they have to request the list
     told_proxies: Count | None = None  # number of proxies in their settings; None: the true one
 
@@ -96,8 +98,8 @@
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9-]+$")]
     kind: Annotated[str, msgspec.Meta(pattern="^(rate|host|retries)$")]
-    amount: Seconds  # tokens per second; places at each host
-    burst: Seconds = 0.0  # tokens at once
+    amount: Seconds  # tokens per second, or places at each host
+    burst: Seconds = 0.0  # capacity of the token bucket
     profiles: list[str] = msgspec.field(default_factory=list)  # names that a rate applies to; empty: all
     over: Annotated[str, msgspec.Meta(pattern="^(never|bounded)$")] = "never"
     floor: Share = 0.0  # share that proxies may use without any message
@@ -126,7 +128,7 @@
     proxies: Count = 1  # at depth `sockets` there is one
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     key_memory: Seconds = 10.0  # a host that saw a key within so many seconds does less work
-    key_saves: Share = 0.5  # reduced by this share
+    key_saves: Share = 0.5  # share of the work that is saved then
     seed: Annotated[int, msgspec.Meta(ge=0)] = 1
     connect_timeout: Positive = 0.25
     keepalive: Positive = 30.0
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -51,7 +51,7 @@
         self.size = self.random.randint(2, 7)
         self.links, self.gossip_class = Links(seed, self.size, 0), gossip_class
         self.gossip_instances: list = [None] * self.size
-        self.lives, self.stopped, self.seed_count = [0] * self.size, {}, min(2, self.size)
+        self.process_numbers, self.stopped, self.seed_count = [0] * self.size, {}, min(2, self.size)
         self.rates = [self.random.choice(CLOCK_RATES) for _ in range(self.size)]
         self.clock_offsets = [self.random.choice((0, 0, 36_000_000)) for _ in range(self.size)]
         self.published_at: dict[tuple, int] = {}  # (author, life, sequence) -> simulation time
@@ -60,14 +60,14 @@
     def call_later(self, delay: int, callback, *arguments) -> None:
         heappush(self.heap, (self.now + delay, next(self.event_sequence), callback, arguments))
 
-    def clock(self, n: int) -> int:
-        return int(self.now * self.rates[n]) + self.clock_offsets[n]
+    def clock(self, member: int) -> int:
+        return int(self.now * self.rates[member]) + self.clock_offsets[member]
 
     def play(self) -> list[Violation]:
         """Runs the schedule and returns the violations of its rules."""
         self.begin, random = self.now, self.random
-        for n in range(self.size):
-            self.call_later(random.randrange(5_000), self.start, n)
+        for member in range(self.size):
+            self.call_later(random.randrange(5_000), self.start, member)
         for _ in range(random.randint(1, 6)):
             self.schedule_fault(random)
         for _ in range(random.randint(3, 25)):
@@ -87,9 +87,9 @@
         """Schedules one fault that ends before the quiet period begins."""
         begin = random.randrange(FAULT_PERIOD * 3 // 4)
         duration = random.randrange(2_000, FAULT_PERIOD - begin)
-        names = [f"p{n}" for n in range(self.size)]
+        names = [f"p{member}" for member in range(self.size)]
         sides = [random.sample(names, random.randint(1, self.size - 1)) for _ in range(2)]
-        one_way, n = random.random() < 0.4, random.randrange(self.size)
+        one_way, member = random.random() < 0.4, random.randrange(self.size)
         fault_name = random.choice(("cut", "lossy", "kill", "stop"))
         if fault_name == "cut" or fault_name == "lossy":
             fault = (
@@ -110,66 +110,66 @@
             self.call_later(begin, self.links.add_fault, fault)
             self.call_later(begin + duration, self.links.remove_fault, fault)
         elif fault_name == "kill":
-            self.call_later(begin, self.kill, n)
-            self.call_later(begin + duration, self.start, n)
+            self.call_later(begin, self.kill, member)
+            self.call_later(begin + duration, self.start, member)
         else:
-            self.call_later(begin, self.stop, n)
-            self.call_later(begin + duration, self.resume, n)
+            self.call_later(begin, self.stop, member)
+            self.call_later(begin + duration, self.resume, member)
 
     # ---- members
 
-    def start(self, n: int) -> None:
-        if self.gossip_instances[n] is not None:
+    def start(self, member: int) -> None:
+        if self.gossip_instances[member] is not None:
             return
-        self.lives[n] += 1
-        life = max(1, self.clock(n) // 10)
-        seeds = [(f"p{k}", 1) for k in range(self.seed_count)]
-        gossip = self.gossip_instances[n] = self.gossip_class(
-            f"p{n}",
-            (f"p{n}", 1),
+        self.process_numbers[member] += 1
+        life = max(1, self.clock(member) // 10)
+        seeds = [(f"p{seed}", 1) for seed in range(self.seed_count)]
+        gossip = self.gossip_instances[member] = self.gossip_class(
+            f"p{member}",
+            (f"p{member}", 1),
             life,
             seeds,
             KEY,
             FACT_LIFETIMES,
             Random(self.random.random()),
-            lambda address, data: self.send(n, address, data),
+            lambda address, data: self.send(member, address, data),
         )
-        gossip.begin(self.clock(n))
-        self.call_later(self.random.randrange(TICK_INTERVAL), self.tick, n, self.lives[n])
+        gossip.begin(self.clock(member))
+        self.call_later(self.random.randrange(TICK_INTERVAL), self.tick, member, self.process_numbers[member])
 
-    def kill(self, n: int) -> None:
-        self.gossip_instances[n] = None
-        self.stopped.pop(n, None)
+    def kill(self, member: int) -> None:
+        self.gossip_instances[member] = None
+        self.stopped.pop(member, None)
 
-    def stop(self, n: int) -> None:
-        if self.gossip_instances[n] is not None:
-            self.stopped.setdefault(n, [])
+    def stop(self, member: int) -> None:
+        if self.gossip_instances[member] is not None:
+            self.stopped.setdefault(member, [])
 
-    def resume(self, n: int) -> None:
-        for data, source in self.stopped.pop(n, ()):
-            self.gossip_instances[n].received(self.clock(n), data, source)
+    def resume(self, member: int) -> None:
+        for data, source in self.stopped.pop(member, ()):
+            self.gossip_instances[member].received(self.clock(member), data, source)
 
-    def tick(self, n: int, life: int) -> None:
-        gossip = self.gossip_instances[n]
-        if gossip is None or life != self.lives[n]:
+    def tick(self, member: int, process_number: int) -> None:
+        gossip = self.gossip_instances[member]
+        if gossip is None or process_number != self.process_numbers[member]:
             return
-        self.call_later(TICK_INTERVAL, self.tick, n, life)
-        if n not in self.stopped:
-            gossip.tick(self.clock(n))
-            self.check_ages(n, gossip)
-
-    def publish_fact(self, n: int) -> None:
-        gossip = self.gossip_instances[n]
-        if gossip is None or n in self.stopped:
+        self.call_later(TICK_INTERVAL, self.tick, member, process_number)
+        if member not in self.stopped:
+            gossip.tick(self.clock(member))
+            self.check_ages(member, gossip)
+
+    def publish_fact(self, member: int) -> None:
+        gossip = self.gossip_instances[member]
+        if gossip is None or member in self.stopped:
             return
         kind, subject = self.random.choice(tuple(FACT_LIFETIMES)), self.random.choice("abc")
         fact = gossip.table.publish(
-            self.clock(n), kind, subject, (self.random.randrange(9),), len(gossip.live())
+            self.clock(member), kind, subject, (self.random.randrange(9),), len(gossip.live())
         )
         self.published_at[fact.author, fact.life, fact.sequence] = self.now
 
-    def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
-        outcome = self.links.datagram_outcome(f"p{n}", address[0])
+    def send(self, member: int, address: tuple[str, int], data: bytes) -> None:
+        outcome = self.links.datagram_outcome(f"p{member}", address[0])
         for delay in outcome.copies:
             sent_data = flip_random_bit(data, self.random) if outcome.corrupted else data
             self.call_later(
@@ -177,49 +177,53 @@
                 self.receive,
                 int(address[0][1:]),
                 sent_data,
-                (f"p{n}", 1),
+                (f"p{member}", 1),
             )
 
-    def receive(self, n: int, data: bytes, source) -> None:
-        if self.gossip_instances[n] is None:
+    def receive(self, member: int, data: bytes, source) -> None:
+        if self.gossip_instances[member] is None:
             return
-        if n in self.stopped:
-            if len(self.stopped[n]) < 200:
-                self.stopped[n].append((data, source))
+        if member in self.stopped:
+            if len(self.stopped[member]) < 200:
+                self.stopped[member].append((data, source))
         else:
-            self.gossip_instances[n].received(self.clock(n), data, source)
+            self.gossip_instances[member].received(self.clock(member), data, source)
 
     # ---- rules
 
-    def check_ages(self, n: int, gossip) -> None:
-        for fact in gossip.table.live_facts(self.clock(n)):
+    def check_ages(self, member: int, gossip) -> None:
+        for fact in gossip.table.live_facts(self.clock(member)):
             published = self.published_at.get((fact.author, fact.life, fact.sequence))
             if (
                 published is not None
                 and self.now - published > FACT_LIFETIMES[fact.kind] * (1 + CLOCK_DRIFT) + AGE_TOLERANCE
             ):
                 self.violations.append(
-                    Violation("old", self.now - self.begin, n, f"{fact}, {self.now - published}")
+                    Violation("old", self.now - self.begin, member, f"{fact}, {self.now - published}")
                 )
 
     def check_agreement(self) -> None:
         """Checks the rules `apart`, `forgot` and `unlike` at the end of a run."""
-        live_members = {f"p{n}" for n, gossip in enumerate(self.gossip_instances) if gossip is not None}
+        live_members = {
+            f"p{member}" for member, gossip in enumerate(self.gossip_instances) if gossip is not None
+        }
         facts_by_member = {}
-        for n, gossip in enumerate(self.gossip_instances):
+        for member, gossip in enumerate(self.gossip_instances):
             if gossip is None:
                 continue
             if set(gossip.live()) != live_members:
                 self.violations.append(
-                    Violation("apart", self.now - self.begin, n, f"{gossip.live()} of {live_members}")
+                    Violation("apart", self.now - self.begin, member, f"{gossip.live()} of {live_members}")
                 )
-            facts = gossip.table.live_facts(self.clock(n))
-            facts_by_member[n] = {
-                (f.author, f.life, f.kind, f.subject, f.sequence) for f in facts if self.is_settled(f)
+            facts = gossip.table.live_facts(self.clock(member))
+            facts_by_member[member] = {
+                (fact.author, fact.life, fact.kind, fact.subject, fact.sequence)
+                for fact in facts
+                if self.is_settled(fact)
             }
-            present = {(f.author, f.life, f.sequence) for f in facts}
+            present = {(fact.author, fact.life, fact.sequence) for fact in facts}
             last_published = max(
-                (key for key in self.published_at if key[0] == f"p{n}" and key[1] == gossip.table.life),
+                (key for key in self.published_at if key[0] == f"p{member}" and key[1] == gossip.table.life),
                 key=lambda key: key[2],
                 default=None,
             )
@@ -227,11 +231,13 @@
                 last_published not in present
                 and self.now - self.published_at.get(last_published, 0) < min(FACT_LIFETIMES.values()) * 0.9
             ):
-                self.violations.append(Violation("forgot", self.now - self.begin, n, f"{last_published}"))
+                self.violations.append(
+                    Violation("forgot", self.now - self.begin, member, f"{last_published}")
+                )
         first = next(iter(facts_by_member.values()), None)
-        for n, facts in facts_by_member.items():
+        for member, facts in facts_by_member.items():
             if facts != first:
-                self.violations.append(Violation("unlike", self.now - self.begin, n, f"{facts ^ first}"))
+                self.violations.append(Violation("unlike", self.now - self.begin, member, f"{facts ^ first}"))
 
     def is_settled(self, fact) -> bool:
         """Whether all members must hold this fact.
--- a/basalthook/lab/show.py
+++ b/basalthook/lab/show.py
@@ -17,13 +17,13 @@
 }
 
 
-class LiveBoard:
+class LiveTable:
     """A live table of all hosts; an instance is the `on_progress` argument of `trial.play`."""
 
     def __init__(self, scenario: Scenario, console: Console) -> None:
         self.scenario, self.console, self.live = scenario, console, None
 
-    def __enter__(self) -> "LiveBoard":
+    def __enter__(self) -> "LiveTable":
         # without a terminal, a table that is redrawn would fill the output
         if self.console.is_terminal:
             self.live = Live(console=self.console, auto_refresh=False, transient=True)
@@ -53,10 +53,10 @@
     def hosts_table(self, fleet, attempts) -> Table:
         table = Table("host", "zone", "listed as", "state", "capacity", "held", "hops/s", "")
         now = fleet.clock()
-        for n, machine in enumerate(fleet.machines):
+        for host, machine in enumerate(fleet.machines):
             state = (
                 "down"
-                if not fleet.is_listening(n)
+                if not fleet.is_listening(host)
                 else "silent"
                 if machine.silent
                 else "slow"
@@ -67,14 +67,14 @@
             )
             style = {"up": "green", "cold": "cyan", "down": "red"}.get(state, "yellow")
             table.add_row(
-                f"host-{n}",
-                fleet.zones[n],
-                fleet.states[n],
+                f"host-{host}",
+                fleet.zones[host],
+                fleet.listed_states[host],
                 Text(state, style),
                 f"{machine.capacity(now):.1f}" if state != "down" else "-",
                 str(machine.occupied_slots),
-                str(attempts[n]),
-                "#" * min(30, attempts[n] // 3),
+                str(attempts[host]),
+                "#" * min(30, attempts[host] // 3),
             )
         return table
 
--- a/basalthook/lab/standins.py
+++ b/basalthook/lab/standins.py
@@ -1,7 +1,7 @@
-"""Stand-in hosts and discovery for the proxies under test, on loopback sockets; they record the wire.
+"""Stand-in hosts and discovery for the proxies under test, on loopback sockets; they write the wire record.
 
-Every proxy has its own address at each host and at discovery, so that each link is distinct and can have
-faults: what a link loses or delays is lost or delayed here, before the host sees it.
+Every proxy has its own address at each host and at discovery, so that each link can have its own faults. A
+message that a link loses or delays is lost or delayed here, before the host or discovery handles it.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 from .wire import Done, HostOrdered, HostStateSent
 
 
-class Fleet:
+class SocketFleet:
     """All hosts of a scenario and their discovery; faults call its methods."""
 
     def __init__(self, scenario: Scenario, wire: list, clock, seed: int, proxies: int = 1) -> None:
-        """`clock()` gives seconds and is shared by all that record the wire."""
+        """`clock()` gives seconds and is shared by all that write the wire record."""
         self.scenario, self.wire, self.clock, self.proxy_count = scenario, wire, clock, proxies
         self.links = Links(seed, proxies, scenario.host_count)
         self.machines, self.zones = build_machines(scenario)
@@ -31,11 +31,13 @@
         self.host_rngs = [Random(f"host {n} of {seed}") for n in range(number_of_hosts)]
         self.host_connections: list[set[HostConnection]] = [set() for _ in range(number_of_hosts)]
         self.listeners: list[list[HostListener]] = [[] for _ in range(number_of_hosts)]  # by host and proxy
-        # faults of idle connections, by host
+        # active faults of idle connections, by host
         self.idle_faults: list[list] = [[] for _ in range(number_of_hosts)]
-        self.answer_faults: list[list] = [[] for _ in range(number_of_hosts)]  # faults of answers, by host
+        self.answer_faults: list[list] = [
+            [] for _ in range(number_of_hosts)
+        ]  # active faults of answers, by host
         self.ports = [[0] * proxies for _ in range(number_of_hosts)]
-        self.states, self.changed_in_version, self.version = (
+        self.listed_states, self.changed_in_version, self.version = (
             ["up"] * number_of_hosts,
             [1] * number_of_hosts,
             1,
@@ -61,7 +63,7 @@
         # changes made while discovery failed: (host, state); emptied when it works again
         self.unpublished_changes: list[tuple[int, str]] = []
         self.console: tuple[str, int] | None = None  # address of the proxy's console
-        self.background_tasks: set[asyncio.Task] = set()  # operators' calls and others; emptied as they end
+        self.background_tasks: set[asyncio.Task] = set()  # each removes itself when it ends
 
     async def open(self) -> None:
         for host in range(len(self.machines)):
@@ -128,12 +130,12 @@
                 "addr": f"{loopback.ADDRESS}:{self.ports[host][proxy]}",
                 "zone": self.zones[host],
                 "cell": 0,
-                "state": self.states[host],
+                "state": self.listed_states[host],
                 "weight": self.machines[host].cores * self.machines[host].speed,
                 "started_ms": self.started_ms[host],
             }
             for host in hosts
-            if not (full and self.states[host] in omitted_states)
+            if not (full and self.listed_states[host] in omitted_states)
         ]
         return {"version": self.version, "full": full, "servers": entries}
 
@@ -143,14 +145,14 @@
             self.wire.append(Done(self.clock(), host, tx))
 
     def note_proxy_started(self, proxy: int) -> None:
-        """A new process of this proxy knows the list of its start-up file and has not called discovery."""
+        """Records a new process of this proxy, which knows only the host list of its start-up file."""
         self.last_call_at[proxy], self.last_call_failed[proxy], self.discovery_moved_at[proxy] = (
             self.clock(),
             False,
             None,
         )
         self.wire += [
-            HostStateSent(self.clock(), host, state, proxy) for host, state in enumerate(self.states)
+            HostStateSent(self.clock(), host, state, proxy) for host, state in enumerate(self.listed_states)
         ]
 
     # ---- called by faults
@@ -161,7 +163,7 @@
 
     def change_state(self, host: int, state: str) -> None:
         self.version += 1
-        self.states[host], self.changed_in_version[host] = state, self.version
+        self.listed_states[host], self.changed_in_version[host] = state, self.version
         self.changed_at[host] = self.clock()
         if self.discovery_failure:
             self.unpublished_changes.append((host, state))
@@ -225,7 +227,7 @@
 
     def note_state_known(self, proxy: int, host: int, state: str) -> None:
         """Records that the proxy counts as knowing a state, unless it changed or lists are corrupt."""
-        if self.states[host] != state:  # changed again since
+        if self.listed_states[host] != state:  # changed again since
             return
         valid_for = self.clock() - self.lists_valid_since
         if self.list_fault == "spoilt":
@@ -237,7 +239,7 @@
             self.wire.append(HostStateSent(self.clock(), host, state, proxy))
 
     def end_list_fault(self) -> None:
-        """After corrupt lists, proxies have as long as after any other recovery of discovery."""
+        """Ends the list fault; changes missed through corrupt lists count as known WATCH_SILENCE_S later."""
         if self.list_fault == "spoilt":
             self.lists_valid_since = self.clock()
         self.list_fault, deferred, self.deferred_changes = "", self.deferred_changes, []
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -35,26 +35,26 @@
         self.gossip_instances: list[Gossip | None] = [None] * count
         self.verdicts: list[HostVerdicts | None] = [None] * count
         self.limits: list[FleetLimits | None] = [None] * count
-        self.network_random = Random(f"datagrams of {fleet.seed}")
+        self.network_rng = Random(f"datagrams of {fleet.seed}")
         self.waiting_datagrams: dict[int, list] = {}  # stopped proxy -> datagrams, until it is resumed
         self.log_events: list[tuple] = []  # (time, proxy, event, fields)
         self.published_at: dict[tuple, float] = {}  # (author, life, sequence) -> publication time
         self.staleness = {kind: 0.0 for kind in FACT_LIFETIMES}
         self.over_age: list[tuple] = []  # uses of facts older than the lifetime of their kind: a defect
-        self.lives = [0] * count
+        self.process_numbers = [0] * count
         self.sent, self.sent_bytes = Counter(), Counter()
         self.false_suspicions = 0
 
-    def start_member(self, n: int, proxy, zone: str, first: bool):
+    def start_member(self, member: int, decisions, zone: str, first: bool):
         """Starts a member and returns the layer that wraps the proxy's decisions.
 
         With `first` the whole fleet starts and each member knows all others; else it knows only the seeds.
         """
-        fleet, name = self.fleet, f"p{n}"
-        self.lives[n] += 1
-        life = max(1, int(fleet.clock_reading(n) * 1000))
+        fleet, name = self.fleet, f"p{member}"
+        self.process_numbers[member] += 1
+        life = max(1, int(fleet.clock_reading(member) * 1000))
         seeds = [(f"p{seed}", 1) for seed in range(min(SEED_COUNT, self.count))]
-        random = Random(f"member {n} of {fleet.seed}, life {self.lives[n]}")
+        random = Random(f"member {member} of {fleet.seed}, life {self.process_numbers[member]}")
         gossip = Gossip(
             name,
             (name, 1),
@@ -63,8 +63,8 @@
             KEY,
             FACT_LIFETIMES,
             random,
-            lambda address, data: self.send(n, address, data),
-            lambda event, **fields: self.log_events.append((fleet.now, n, event, fields)),
+            lambda address, data: self.send(member, address, data),
+            lambda event, **fields: self.log_events.append((fleet.now, member, event, fields)),
         )
         table_publish = gossip.table.publish
 
@@ -76,131 +76,135 @@
         gossip.table.publish = publish_and_note_time
 
         def log_event(event, **fields):
-            self.log_events.append((fleet.now, n, event, fields))
+            self.log_events.append((fleet.now, member, event, fields))
 
         host_verdicts = None
         if "verdicts" in fleet.scenario.fleet.shares:
-            host_verdicts = HostVerdicts(proxy, gossip.table, zone, gossip.live, log_event)
+            host_verdicts = HostVerdicts(decisions, gossip.table, zone, gossip.live, log_event)
             host_verdicts.on_urgent_fact = gossip.send_rumours
             host_verdicts.on_evidence_used = lambda name, kind, evidence: self.record_staleness(
-                n, kind, evidence
+                member, kind, evidence
             )
         members = (
             [
-                Update(f"p{k}", f"p{k}", 1, max(1, int(fleet.clock_reading(k) * 1000)), 0, ALIVE)
-                for k in range(self.count)
+                Update(f"p{other}", f"p{other}", 1, max(1, int(fleet.clock_reading(other) * 1000)), 0, ALIVE)
+                for other in range(self.count)
             ]
             if first
             else []
         )
-        gossip.begin(fleet.clock_ticks(n), members)
-        self.gossip_instances[n], self.verdicts[n] = gossip, host_verdicts
-        fleet.call_later(TICK_S * self.network_random.random(), self.tick, n, self.lives[n])
-        layer = host_verdicts or FaultAggregator(proxy)
+        gossip.begin(fleet.clock_ticks(member), members)
+        self.gossip_instances[member], self.verdicts[member] = gossip, host_verdicts
+        fleet.call_later(TICK_S * self.network_rng.random(), self.tick, member, self.process_numbers[member])
+        layer = host_verdicts or FaultAggregator(decisions)
         if "limits" in fleet.scenario.fleet.shares:
-            layer = self.start_limits(n, life, proxy, layer, gossip, log_event)
+            layer = self.start_limits(member, life, decisions, layer, gossip, log_event)
             if first:  # no leases exist when a run begins, so there is none to wait for
-                layer.own_places_from = fleet.clock_ticks(n)
+                layer.own_places_from = fleet.clock_ticks(member)
                 if layer.election is not None:
-                    layer.election.silent_until = layer.election.next_action_at = fleet.clock_ticks(n)
+                    layer.election.silent_until = layer.election.next_action_at = fleet.clock_ticks(member)
                     layer.allocator.no_leases_out = True
         return layer
 
-    def start_limits(self, n: int, life: int, proxy, inner, gossip: Gossip, log_event) -> FleetLimits:
+    def start_limits(
+        self, member: int, life: int, decisions, inner, gossip: Gossip, log_event
+    ) -> FleetLimits:
         fleet, scenario = self.fleet, self.fleet.scenario
         names = [p.name for p in scenario.load.profiles]
         voters = tuple(limit_voters(self.count))
         hard_limit = int(max(p.hard_limit for p in scenario.load.profiles) * 10_000)
         limits = FleetLimits(
             inner,
-            proxy,
+            decisions,
             [program_limit(limit, names) for limit in scenario.fleet.limits],
-            f"p{n}",
+            f"p{member}",
             life,
             voters,
-            proxy.settings.position,
-            proxy.settings.proxies,
+            decisions.settings.position,
+            decisions.settings.proxies,
             hard_limit,
-            Random(f"limits {n} of {fleet.seed}, life {self.lives[n]}"),
+            Random(f"limits {member} of {fleet.seed}, life {self.process_numbers[member]}"),
             gossip.send_to,
             gossip.live,
-            fleet.clock_ticks(n),
+            fleet.clock_ticks(member),
             log_event,
         )
-        limits.post_event = lambda event: fleet.call_later(0, fleet.deliver, n, event, fleet.lives[n])
+        limits.post_event = lambda event: fleet.call_later(
+            0, fleet.deliver, member, event, fleet.process_numbers[member]
+        )
         gossip.message_lengths, gossip.on_message = MESSAGE_LENGTHS, limits.received
-        self.limits[n] = limits
+        self.limits[member] = limits
         return limits
 
-    def stop_member(self, n: int) -> None:
-        self.add_totals(n)
-        self.gossip_instances[n] = self.verdicts[n] = self.limits[n] = None
-        self.waiting_datagrams.pop(n, None)
+    def stop_member(self, member: int) -> None:
+        self.add_totals(member)
+        self.gossip_instances[member] = self.verdicts[member] = self.limits[member] = None
+        self.waiting_datagrams.pop(member, None)
 
-    def add_totals(self, n: int) -> None:
-        gossip = self.gossip_instances[n]
+    def add_totals(self, member: int) -> None:
+        gossip = self.gossip_instances[member]
         if gossip is not None:
-            self.sent[n] += gossip.sent
-            self.sent_bytes[n] += gossip.sent_bytes
+            self.sent[member] += gossip.sent
+            self.sent_bytes[member] += gossip.sent_bytes
             self.false_suspicions += gossip.member.false_suspicions
 
-    def tick(self, n: int, life: int) -> None:
-        fleet, gossip = self.fleet, self.gossip_instances[n]
-        if gossip is None or life != self.lives[n]:
+    def tick(self, member: int, process_number: int) -> None:
+        fleet, gossip = self.fleet, self.gossip_instances[member]
+        if gossip is None or process_number != self.process_numbers[member]:
             return
-        fleet.call_later(TICK_S, self.tick, n, life)
-        if n in fleet.stopped:
+        fleet.call_later(TICK_S, self.tick, member, process_number)
+        if member in fleet.stopped:
             return
-        now = fleet.clock_ticks(n)
+        now = fleet.clock_ticks(member)
         gossip.tick(now)
-        if self.limits[n] is not None:
-            self.limits[n].tick(now)
-        event = self.verdicts[n].evaluate(now, now) if self.verdicts[n] is not None else None
+        if self.limits[member] is not None:
+            self.limits[member].tick(now)
+        event = self.verdicts[member].evaluate(now, now) if self.verdicts[member] is not None else None
         if event is not None:
-            fleet.deliver(n, event)
+            fleet.deliver(member, event)
 
-    def send(self, n: int, address: tuple[str, int], data: bytes) -> None:
+    def send(self, member: int, address: tuple[str, int], data: bytes) -> None:
         fleet, receiver = self.fleet, int(address[0][1:])
-        outcome = fleet.links.datagram_outcome(f"p{n}", address[0])
+        outcome = fleet.links.datagram_outcome(f"p{member}", address[0])
         for delay in outcome.copies:
-            received_data = flip_random_bit(data, self.network_random) if outcome.corrupted else data
+            received_data = flip_random_bit(data, self.network_rng) if outcome.corrupted else data
             fleet.call_later(
-                fleet.network_delay("", "") + delay, self.receive, receiver, received_data, (f"p{n}", 1)
+                fleet.network_delay("", "") + delay, self.receive, receiver, received_data, (f"p{member}", 1)
             )
 
-    def receive(self, n: int, data: bytes, sender: tuple[str, int]) -> None:
-        gossip = self.gossip_instances[n]
+    def receive(self, member: int, data: bytes, sender: tuple[str, int]) -> None:
+        gossip = self.gossip_instances[member]
         if gossip is None:
             return
-        if n in self.fleet.stopped:
-            waiting = self.waiting_datagrams.setdefault(n, [])
+        if member in self.fleet.stopped:
+            waiting = self.waiting_datagrams.setdefault(member, [])
             if len(waiting) < MAX_WAITING_DATAGRAMS:
                 waiting.append((data, sender))
             return
-        gossip.received(self.fleet.clock_ticks(n), data, sender)
+        gossip.received(self.fleet.clock_ticks(member), data, sender)
 
-    def deliver_waiting(self, n: int) -> None:
-        for data, sender in self.waiting_datagrams.pop(n, ()):
-            self.gossip_instances[n].received(self.fleet.clock_ticks(n), data, sender)
+    def deliver_waiting(self, member: int) -> None:
+        for data, sender in self.waiting_datagrams.pop(member, ()):
+            self.gossip_instances[member].received(self.fleet.clock_ticks(member), data, sender)
 
-    def record_staleness(self, n: int, kind: str, evidence) -> None:
+    def record_staleness(self, member: int, kind: str, evidence) -> None:
         """Records the greatest age of a fact that a proxy acted on, by the lab's clock, not the proxy's."""
-        facts = self.gossip_instances[n].table.by_id
+        facts = self.gossip_instances[member].table.by_id
         for item in evidence:
             fact = facts[item.fact_id].fact
             age = self.fleet.now - self.published_at[fact.author, fact.life, fact.sequence]
             self.staleness[kind] = max(self.staleness[kind], age)
             if age * 10_000 > FACT_LIFETIMES[kind] * (1 + CLOCK_DRIFT):
-                self.over_age.append((self.fleet.now, n, kind, age))
+                self.over_age.append((self.fleet.now, member, kind, age))
 
     # ---- results of a run
 
     def figures(self, scenario, begin: float) -> dict:
         """Figures on the fleet for the result of a run; ages and times are in seconds."""
-        for n in range(self.count):
-            self.add_totals(n)
-        rates = [self.sent_bytes[n] / scenario.seconds for n in range(self.count)]
-        sent = [self.sent[n] / scenario.seconds for n in range(self.count)]
+        for member in range(self.count):
+            self.add_totals(member)
+        rates = [self.sent_bytes[member] / scenario.seconds for member in range(self.count)]
+        sent = [self.sent[member] / scenario.seconds for member in range(self.count)]
         return {
             "staleness": {kind: round(age, 3) for kind, age in self.staleness.items()},
             "over_age": len(self.over_age),
@@ -212,13 +216,13 @@
     def detection_times(self, scenario, begin: float) -> dict:
         """For each fault: seconds until the first and until every live member had one of its hosts out."""
         detect, agree = [], []
-        host_numbers = {f"{mark:x}": n for n, mark in enumerate(self.fleet.host_hashes)}
+        host_numbers = {f"{host_hash:x}": number for number, host_hash in enumerate(self.fleet.host_hashes)}
         for fault in scenario.faults:
             first = {}
-            for at, n, event, fields in self.log_events:
+            for at, member, event, fields in self.log_events:
                 host = host_numbers.get(fields.get("host", "").split(".")[0]) if event == "verdict" else None
                 if host in fault.hosts and fields["state"] == OUT and at >= begin + fault.at:
-                    first.setdefault(host, {}).setdefault(n, at - begin - fault.at)
+                    first.setdefault(host, {}).setdefault(member, at - begin - fault.at)
             times_of_last = [max(seen.values()) for seen in first.values() if len(seen) >= self.live_count()]
             detect.append(round(min(min(seen.values()) for seen in first.values()), 3) if first else None)
             agree.append(
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -12,7 +12,7 @@
 from .load import Clients
 from .result import Result, build_result
 from .scenario import Scenario, ScenarioError, fault_events
-from .standins import Fleet
+from .standins import SocketFleet
 from .start import proxy_settings
 from .wire import Answered, Asked, Got
 
@@ -32,7 +32,7 @@
             self.faults.append(fields)
 
 
-def start_up(scenario: Scenario, fleet: Fleet) -> dict:
+def start_up(scenario: Scenario, fleet: SocketFleet) -> dict:
     """The start-up file of the scenario's one proxy."""
     return {
         "name": scenario.name,
@@ -61,7 +61,7 @@
         raise ScenarioError(f"{scenario.name}: vanish and long_way need virtual time, see --depth")
     if scenario.fleet or any(isinstance(fault, LinkFault | ProxyFault) for fault in scenario.faults):
         raise ScenarioError(f"{scenario.name}: several proxies need depth `processes` or `decisions`")
-    fleet = Fleet(scenario, wire, loop.time, scenario.seed)
+    fleet = SocketFleet(scenario, wire, loop.time, scenario.seed)
     await fleet.open()
     service = Service(decode(start_up(scenario, fleet), {}), event_counts, selector=selector)
     listener = service.begin()
--- a/basalthook/lab/wire.py
+++ b/basalthook/lab/wire.py
@@ -16,7 +16,7 @@
     once: bool  # must not run twice
     limit: float  # the time at which its hard limit expires
     profile: str
-    due: float  # when the schedule had its first try
+    due: float  # when its first try was due
     first: str  # transaction id of the first try; its own id if it is the first
     window: float | None = None  # of a keyed request: seconds during which it may be repeated
 
@@ -66,7 +66,7 @@
     ran: bool  # false: rejected before any work, with an answer that says so
     proxy: int = 0
     left: float | None = None  # when it was sent, if the link delayed it
-    told: float | None = None  # seconds that the proxy said it would wait
+    told: float | None = None  # time limit in seconds that the proxy sent with the attempt
 
 
 class Done(NamedTuple):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -24,11 +24,13 @@
 
 
 class Loopback(unittest.IsolatedAsyncioTestCase):
+    """Base class of tests with a proxy on loopback; fails a test after which a fault was logged."""
+
     async def start_proxy(self, *hosts, **settings):
         """Start these hosts, discovery and a proxy that knows them; return a client of the proxy."""
         self.unhandled = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: self.unhandled.append(context))
-        self.hosts, self.log = [await self.start_fake(h) for h in hosts], RecordingLog()
+        self.hosts, self.log = [await self.start_fake(host) for host in hosts], RecordingLog()
         self.discovery = await self.start_fake(SocketDiscovery())
         self.service = Service(decode(start_up(self.hosts, self.discovery, **settings), {}), self.log)
         self.listener = self.service.begin()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,33 +9,36 @@
 import msgspec
 
 from basalthook.lab import decisions, faults
-from basalthook.lab import scenario as s
+from basalthook.lab import scenario as scenarios
 from basalthook.lab.result import build_result
 from basalthook.lab.wire import Got, ListRequested
 from basalthook.policy.hosts import Hosts
 
 HOSTS = 60
-PROFILES = [s.Profile("read", "repeatable", 0.03, 0.6, 2.0), s.Profile("write", "once", 0.03, 0.6, 2.0)]
-RULES = s.Rules(drain_grace=0.5, cold_share=0.2, cold_time=20.0, fall_multiple=2.5, fall_time=3.0)
+PROFILES = [
+    scenarios.Profile("read", "repeatable", 0.03, 0.6, 2.0),
+    scenarios.Profile("write", "once", 0.03, 0.6, 2.0),
+]
+RULES = scenarios.Rules(drain_grace=0.5, cold_share=0.2, cold_time=20.0, fall_multiple=2.5, fall_time=3.0)
 
 
 def simulate(
-    count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **k
+    count=HOSTS, rate=1_000, seconds=12, faults=(), proxies=40, keys=2_000, rules=RULES, seed=1, **fields
 ):
     """Simulates one-core hosts that slow down once they hold eight attempts, until they hold none."""
-    kinds = [s.HostKind(count, cores=1, choke=8, zones=["a", "b"])]
-    scenario = s.Scenario(
-        "story",
+    kinds = [scenarios.HostKind(count, cores=1, choke=8, zones=["a", "b"])]
+    scenario = scenarios.Scenario(
+        "simulated",
         seconds,
         kinds,
-        s.Load(rate, PROFILES, keys, zipf=0),
+        scenarios.Load(rate, PROFILES, keys, zipf=0),
         rules,
         list(faults),
-        network=s.Network(same=0, cross=0, cross_price=0),
+        network=scenarios.Network(same=0, cross=0, cross_price=0),
         proxies=proxies,
         key_saves=0,
         seed=seed,
-        **k,
+        **fields,
     )
     run = decisions.SimulatedFleet(scenario, seed)
     run.run()
@@ -46,8 +49,8 @@
 
 def attempts_at(run, hosts, begin=0.0, end=99.0):
     return sum(
-        isinstance(e, Got) and e.host in hosts and begin <= e.at - decisions.START_TIME < end
-        for e in run.wire
+        isinstance(entry, Got) and entry.host in hosts and begin <= entry.at - decisions.START_TIME < end
+        for entry in run.wire
     )
 
 
@@ -69,7 +72,7 @@
             rate=900,
             seconds=18,
             faults=[faults.Kill(at=6, hosts=replaced_hosts, lasts=0.2)],
-            discovery=s.Discovery(notice=0.05),
+            discovery=scenarios.Discovery(notice=0.05),
         )
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(
@@ -89,16 +92,16 @@
 
     def test_list_calls_are_spread_even_if_most_of_them_fail(self):
         run, _ = simulate(
-            rate=100, seconds=20, discovery=s.Discovery(mode="on_request", fails=0.7, notice=0.1)
+            rate=100, seconds=20, discovery=scenarios.Discovery(mode="on_request", fails=0.7, notice=0.1)
         )
-        calls = Counter(int(e.at) for e in run.wire if isinstance(e, ListRequested))
+        calls = Counter(int(entry.at) for entry in run.wire if isinstance(entry, ListRequested))
         self.assertGreaterEqual(sum(calls.values()), 40)  # every proxy has called
         self.assertLessEqual(max(calls.values()), 20)  # at most half of the proxies in one second
 
     def test_a_wrongly_configured_number_of_proxies_does_little_harm(self):
         for known_proxies in (1, 4, 400):
             _, result = simulate(
-                12, rate=120, seconds=6, proxies=8, discovery=s.Discovery(told_proxies=known_proxies)
+                12, rate=120, seconds=6, proxies=8, discovery=scenarios.Discovery(told_proxies=known_proxies)
             )
             self.assertGreater(result.verdict.service, 0.9)
 
@@ -146,7 +149,7 @@
         )
 
 
-class IndependentDefences(unittest.TestCase):
+class ColdHostGuard(unittest.TestCase):
     """Cold hosts in a retry storm are protected by one guard, with each other defence disabled in turn."""
 
     DEFENCES = {
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -14,7 +14,7 @@
     return processes.play(scenario.parse(text, name), rig)
 
 
-class DiscoveryTrouble(unittest.TestCase):
+class DiscoveryFaults(unittest.TestCase):
     def test_draining_hosts_get_nothing_after_discovery_moved_repeatedly_and_rejected_calls(self):
         result = run_scenario("moved-in-a-row.toml")
         self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,5 @@
-"""Tests of the lab: the judge finds planted violations and no others; the machine model, scenario files and
-trials behave as documented."""
+"""Tests of the lab: the judge reports planted violations and no others; the machine model, scenario files,
+deadlines of discovery and trials on sockets behave as documented."""
 
 import asyncio
 import json
@@ -43,7 +43,7 @@
     return Got(at, host, tx, cost, capacity, cold, ran)
 
 
-class Judge(unittest.TestCase):
+class JudgeRules(unittest.TestCase):
     def judge_wire(self, *wire):
         return judge(sorted(wire, key=lambda entry: entry.at), RULES, {"p": 0.6})
 
@@ -186,14 +186,14 @@
 
 
 class ReadDelay(unittest.IsolatedAsyncioTestCase):
-    async def test_a_lab_process_that_reads_late_knows_when_the_bytes_arrived(self):
+    async def test_the_read_delay_is_known_when_the_lab_process_reads_late(self):
         delays = []
 
-        class Noting(MessageProtocol):
-            def message_received(self, first, fields, body):
+        class DelayRecorder(MessageProtocol):
+            def message_received(self, first_line, fields, body):
                 delays.append(self.read_delay())
 
-        server = await asyncio.get_running_loop().create_server(Noting, "127.0.0.1", 0)
+        server = await asyncio.get_running_loop().create_server(DelayRecorder, "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
         for delay in (0.0, 0.2):
             writer.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -205,31 +205,31 @@
         self.assertGreater(delays[1], 0.15)
 
 
-class Model(unittest.TestCase):
+class MachineModel(unittest.TestCase):
     def machine(self, **changes):
         defaults = {"cores": 2, "speed": 1.0, "slots": 3}
         kind = scenario.HostKind(1, **{**defaults, **changes})
         return Machine(kind, RULES, 5.0, 0.5)
 
-    def test_cores_queue_and_slots(self):
+    def test_work_waits_for_a_free_core_and_is_refused_without_a_free_slot(self):
         machine = self.machine()
         self.assertEqual([machine.accept(1.0, 0.5) for _ in range(4)], [1.5, 1.5, 2.0, None])
-        machine.release(machine.life)
+        machine.release(machine.process_number)
         self.assertIsNotNone(machine.accept(1.5, 0.4))
 
     def test_a_new_process_is_cold_has_no_keys_and_no_work_of_the_previous_one(self):
         machine = self.machine()
         self.assertEqual([machine.cost(at, "k", 1.0) for at in (0.0, 4.0, 10.0)], [1.0, 0.5, 1.0])
         machine.accept(10.0, 1.0)
-        previous_life = machine.life
+        previous_process = machine.process_number
         machine.start(11.0)
-        machine.release(previous_life)
+        machine.release(previous_process)
         self.assertEqual((machine.occupied_slots, machine.cost(11.0, "k", 1.0)), (0, 1.0))
         capacity = [machine.capacity(at) for at in (11.0, 13.0, 15.0, 99.0)]
         self.assertEqual(capacity, [0.5, 1.25, 2.0, 2.0])
 
 
-class Scenarios(unittest.TestCase):
+class ScenarioFiles(unittest.TestCase):
     def test_an_error_names_the_file_the_path_in_it_and_what_was_expected(self):
         for old, new, expected_parts in (
             ("rate = 150", "rate = 0", ("> 0", "$.load.rate")),
@@ -247,7 +247,7 @@
                 self.assertIn(part, str(caught.exception))
 
     def test_the_built_in_scenarios_are_valid_and_keep_all_rules(self):
-        names = sorted(each.name for each in files("basalthook.lab").joinpath("scenarios").iterdir())
+        names = sorted(resource.name for resource in files("basalthook.lab").joinpath("scenarios").iterdir())
         self.assertGreater(len(names), 6)
         for name in names:
             loaded = scenario.load(str(files("basalthook.lab").joinpath("scenarios", name)))
@@ -260,7 +260,7 @@
             self.assertGreater(verdict.service, 0.5, name)
 
 
-class Deadlines(unittest.TestCase):
+class DeemedKnownDeadlines(unittest.TestCase):
     def test_a_change_counts_as_known_at_the_time_in_the_operators_rules(self):
         for view, pushed, at in (
             (ProxyView(has_working_watch=True), True, None),
@@ -279,7 +279,7 @@
             self.assertEqual(deemed_known_at(15.0, 20.0, view, pushed, ask_within=10.0), at, view)
 
 
-class Trial(unittest.TestCase):
+class TrialOnSockets(unittest.TestCase):
     def play(self, seconds, faults):
         loaded = scenario.parse(TRY_SCENARIO, "try.toml")
         changes = {"seconds": seconds, "faults": faults, "discovery": scenario.Discovery(notice=0.1)}
@@ -291,7 +291,7 @@
         self.assertGreater(result.verdict.service, 0.9)
         self.assertEqual(result.faults, [])
 
-    def test_a_proxy_that_repeats_what_may_have_run_is_detected(self):
+    def test_a_proxy_that_repeats_a_transaction_that_may_have_run_is_reported(self):
         with patch.object(Hosts, "may_repeat", lambda self, tx: True):
             result = self.play(1.5, [faults.Errors(at=0.1, hosts=[0, 1, 2, 3], lasts=2.0, share=1.0)])
         self.assertGreater(result.verdict.rules["doubled"], 0)
@@ -328,7 +328,7 @@
         self.assertEqual(completed.stdout.strip(), "[]")
 
 
-class Hashing(unittest.TestCase):
+class RendezvousHashing(unittest.TestCase):
     def test_leaders_are_a_prefix_of_the_full_order_and_follow_the_weights(self):
         rng = Random(3)
         for count in (0, 1, 2, 40, 300):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -109,18 +109,18 @@
 
         def own():
             return sum(
-                member.proxy.allowance.remaining((interface.PER_HOST, 0), run.clock(member.n))
+                member.proxy.allowance.remaining((interface.PER_HOST, 0), run.clock(member.position))
                 for member in members
             )
 
         self.assertEqual(own(), 0)
         run.now += HARD_LIMIT // 2
         for member in members:
-            member.limits.tick(run.clock(member.n))
+            member.limits.tick(run.clock(member.position))
         self.assertEqual(own(), 0)
         run.now += HARD_LIMIT
         for member in members:
-            member.limits.tick(run.clock(member.n))
+            member.limits.tick(run.clock(member.position))
         self.assertEqual(own(), int(run.limits[0].floor * run.limits[0].amount))
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -39,8 +39,8 @@
 
 class DrainingHosts(unittest.TestCase):
     def test_draining_hosts_get_nothing_while_watches_are_reset_or_silent_in_both_discovery_modes(self):
-        # After a broken watch a proxy did not follow a pushed list any more, or called again only after the
-        # change had become binding.
+        # After a broken watch a proxy no longer followed a pushed list, or called again only after the change
+        # already counted as known.
         scenario_text = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
         for mode in ("pushed", "on_request"):
             rig = []
@@ -49,8 +49,12 @@
             )
             self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
             self.assertGreater(result.verdict.service, 0.95)
-            drained = [e for e in rig[0].wire if isinstance(e, HostStateSent) and e.state == "draining"]
-            self.assertEqual(len({(e.host, e.proxy) for e in drained}), 3 * 6)
+            drained = [
+                entry
+                for entry in rig[0].wire
+                if isinstance(entry, HostStateSent) and entry.state == "draining"
+            ]
+            self.assertEqual(len({(entry.host, entry.proxy) for entry in drained}), 3 * 6)
 
 
 class LabProcesses(unittest.TestCase):
@@ -71,7 +75,7 @@
             time.sleep(0.05)
         self.assertFalse([pid for pid in proxies if Path("/proc", pid, "exe").exists()])
 
-    def test_processes_of_the_lab_listen_on_addresses_of_their_own(self):
+    def test_each_lab_process_listens_on_its_own_loopback_address(self):
         addresses = {loopback.address_for_process(process) for process in range(1, 2**22, 37)}
         self.assertEqual(len(addresses), len(range(1, 2**22, 37)))
         self.assertTrue(all(ipaddress.ip_address(address).is_loopback for address in list(addresses)[:999]))
@@ -79,7 +83,10 @@
 
 class ProxyFleets(unittest.TestCase):
     def play(self, *faults, seconds=13):
-        """Runs 12 proxies with silent hosts and `faults`; checks the rules and that no old fact was used."""
+        """Runs 12 proxies with three silent hosts and `faults`.
+
+        Checks the rules and that no expired fact was used.
+        """
         head, shares, rig = (
             BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
             BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
@@ -130,15 +137,15 @@
             "[[faults]]\nwhat = 'cut'\nat = 1\nlasts = 5\nbetween = [['p0-5'], ['p6-11']]\n",
             "[[faults]]\nwhat = 'clock'\nat = 0\nlasts = 6\nahead = 3600\nrate = 1.02\nproxies = [1, 2, 8]\n",
         )
-        self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
-        last = {}
-        for _, n, event, fields in rig.log_events:
-            if event == "member" and _ < rig.begin_at + 13:
-                last[n, fields["name"]] = fields["state"]
-        self.assertEqual({state for state in last.values()}, {"alive"})
+        self.assertEqual({host for host, at in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
+        last_states = {}
+        for at, n, event, fields in rig.log_events:
+            if event == "member" and at < rig.begin_at + 13:
+                last_states[n, fields["name"]] = fields["state"]
+        self.assertEqual({state for state in last_states.values()}, {"alive"})
         self.assertGreater(result.verdict.service, 0.95)
 
-    def test_the_rest_serve_while_some_are_killed_and_some_stopped_for_longer_than_a_fact_lives(self):
+    def test_other_proxies_serve_while_some_are_killed_or_stopped_for_longer_than_a_fact_lifetime(self):
         rig, result = self.play(
             "[[faults]]\nwhat = 'kill_proxy'\nat = 2.4\nlasts = 2\nproxies = [0, 1, 2]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 2.6\nlasts = 4\nproxies = [5, 6]\n",
@@ -168,7 +175,7 @@
         self.assertEqual(list(relays.first_published.values()), [published_at])
 
 
-class LateLabProcess(unittest.IsolatedAsyncioTestCase):
+class RelaysReadLate(unittest.IsolatedAsyncioTestCase):
     async def test_a_lab_process_that_reads_late_judges_ages_correctly(self):
         relays = Relays(2, Links(1, 2, 0), asyncio.get_running_loop().time, 1)
         await relays.open()
@@ -269,9 +276,9 @@
         start["settings"]["allowed"]["peers"], start["listen"] = True, "127.0.0.1:0"
         start["console"], running, consoles, ports = "127.0.0.1:0", [], [], []
         for name in ("one", "two"):
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-                free.bind(("127.0.0.1", 0))
-                ports.append(f"127.0.0.1:{free.getsockname()[1]}")
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free_socket:
+                free_socket.bind(("127.0.0.1", 0))
+                ports.append(f"127.0.0.1:{free_socket.getsockname()[1]}")
             (self.folder / "start.json").write_text(json.dumps({**start, "name": name}))
             fleet_path = self.write_fleet_file(listen=ports[-1], seeds=ports[:1])
             running.append(
@@ -296,11 +303,11 @@
             ready = next(line for line in running[-1].stdout if '"ready"' in line)
             consoles.append(":".join(map(str, json.loads(ready)["console"])))
 
-        def states(want):
+        def states(expected):
             for _ in range(100):
                 rows = self.run_program("members", consoles[0], "--json").stdout.splitlines()
                 found = {row["name"]: row["state"] for row in map(json.loads, rows)}
-                if found == want:
+                if found == expected:
                     break
             return found
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,7 +5,7 @@
 from basalthook.lab import processes, soak
 
 
-class Soak(unittest.TestCase):
+class RandomScenarios(unittest.TestCase):
     def test_all_rules_hold_in_random_scenarios_of_many_faults(self):
         for seed in (2, 5, 6):
             with self.subTest(seed=seed):
