--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -85,13 +85,13 @@
         self.clocks = [(START_TIME, START_TIME, 1.0)] * scenario.proxies
         for fault in scenario.faults:
             if isinstance(fault, ClockFault) and fault.at == 0:  # applies before the proxies start
-                for n in fault.proxies:
-                    self.clocks[n] = START_TIME, START_TIME + fault.ahead, fault.rate
+                for proxy in fault.proxies:
+                    self.clocks[proxy] = START_TIME, START_TIME + fault.ahead, fault.rate
         self.members = SimulatedMembers(self, scenario.proxies) if scenario.fleet else None
         # with fleet limits the end of work on each attempt is recorded as well
         self.has_limits = bool(scenario.fleet and scenario.fleet.limits)
-        for n in range(scenario.proxies):
-            self.start_process(n, True)
+        for proxy in range(scenario.proxies):
+            self.start_process(proxy, True)
 
     def start_process(self, proxy: int, first: bool) -> None:
         """Starts a new process of this proxy, with the host list that discovery holds."""
@@ -413,7 +413,7 @@
 
     def kill_proxy(self, proxy: int) -> None:
         """Drops all state of the proxy; hosts still finish the attempts that it has sent."""
-        self.excuse_open_transactions(proxy)
+        self.waive_open_transactions(proxy)
         for table in (
             self.open_transactions,
             self.retry_arguments,
@@ -432,7 +432,7 @@
         self.start_process(proxy, False)
 
     def stop_proxy(self, proxy: int) -> None:
-        self.excuse_open_transactions(proxy)
+        self.waive_open_transactions(proxy)
         self.stopped[proxy] = []
 
     def resume_proxy(self, proxy: int) -> None:
@@ -443,7 +443,7 @@
         for event in queued_events:
             self.deliver(proxy, event)
 
-    def excuse_open_transactions(self, proxy: int) -> None:
+    def waive_open_transactions(self, proxy: int) -> None:
         self.wire += [
             AnswerWaived(self.now, request.tx)
             for (tx_proxy, _), request in self.open_transactions.items()
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -77,7 +77,7 @@
             FakeDecisions(schedule.hosts),
         )
         self.process_number, self.transaction_numbers = schedule.process_numbers[position], count()
-        random = Random(f"{schedule.seed} {position} {self.process_number}")
+        rng = Random(f"{schedule.seed} {position} {self.process_number}")
         self.limits = FleetLimits(
             self.proxy,
             self.proxy,
@@ -88,7 +88,7 @@
             position,
             schedule.size,
             HARD_LIMIT,
-            random,
+            rng,
             self.send,
             schedule.names,
             schedule.clock(position),
@@ -123,9 +123,7 @@
                 number = proxy.queue.pop(0)[2]
                 del proxy.txs[number]
                 proxy.allowance.consume((interface.FIRST_ATTEMPT, 0))
-                duration = int(
-                    HARD_LIMIT / schedule.rates[self.position] * schedule.random.uniform(0.05, 0.97)
-                )
+                duration = int(HARD_LIMIT / schedule.rates[self.position] * schedule.rng.uniform(0.05, 0.97))
                 host.attempts[number] = proxy.attempts[number] = host, now, now
                 schedule.attempt_started(host.id)
                 schedule.call_later(duration, self.attempt_finished, host, number)
@@ -150,26 +148,22 @@
 
         `fault_names` are the names that faults are drawn from.
         """
-        self.seed, self.random, self.member_class, self.fault_names = (
+        self.seed, self.rng, self.member_class, self.fault_names = (
             seed,
             Random(f"leases {seed}"),
             member_class,
             fault_names,
         )
-        random = self.random
+        rng = self.rng
         self.now, self.heap, self.event_sequence = 1_000_000, [], count()
-        self.size, self.hosts = random.randint(2, 6), random.randint(1, 2)
-        self.voters = tuple(
-            f"p{position}" for position in range(random.choice((1, 3)) if self.size > 2 else 1)
-        )
+        self.size, self.hosts = rng.randint(2, 6), rng.randint(1, 2)
+        self.voters = tuple(f"p{position}" for position in range(rng.choice((1, 3)) if self.size > 2 else 1))
         self.limits = [
-            Limit("places", HOST, random.randint(1, 5), floor=random.choice((0.0, 0.4))),
-            Limit(
-                "rate", RATE, *random.choice(((40, 60), (4_000, 5_000))), (), NEVER, random.choice((0.0, 0.3))
-            ),
+            Limit("places", HOST, rng.randint(1, 5), floor=rng.choice((0.0, 0.4))),
+            Limit("rate", RATE, *rng.choice(((40, 60), (4_000, 5_000))), (), NEVER, rng.choice((0.0, 0.3))),
         ]
-        self.rates = [random.choice(CLOCK_RATES) for _ in range(self.size)]
-        self.clock_offsets = [random.choice((0, 36_000_000)) for _ in range(self.size)]
+        self.rates = [rng.choice(CLOCK_RATES) for _ in range(self.size)]
+        self.clock_offsets = [rng.choice((0, 36_000_000)) for _ in range(self.size)]
         self.members: list[Member | None] = [None] * self.size
         self.process_numbers, self.stopped = [0] * self.size, {}
         self.demand = [0] * self.size
@@ -210,18 +204,18 @@
 
     def play(self) -> list[Violation]:
         """Runs the schedule and returns the violations of its rules."""
-        random, self.begin = self.random, self.now
+        rng, self.begin = self.rng, self.now
         self.end = self.begin + FAULT_PERIOD + QUIET_PERIOD
         for position in range(self.size):
-            self.call_later(random.randrange(3_000), self.start, position)
-        for _ in range(random.randint(2, 8)):
+            self.call_later(rng.randrange(3_000), self.start, position)
+        for _ in range(rng.randint(2, 8)):
             self.schedule_fault()
-        for _ in range(random.randint(5, 30)):
+        for _ in range(rng.randint(5, 30)):
             self.call_later(
-                random.randrange(FAULT_PERIOD),
+                rng.randrange(FAULT_PERIOD),
                 self.demand.__setitem__,
-                random.randrange(self.size),
-                random.choice((0, 0, 1, 3, 8)),
+                rng.randrange(self.size),
+                rng.choice((0, 0, 1, 3, 8)),
             )
         self.call_later(FAULT_PERIOD, self.demand.__setitem__, slice(0, self.size), [1] * self.size)
         while self.heap and self.heap[0][0] <= self.end:
@@ -235,32 +229,32 @@
         return self.violations
 
     def schedule_fault(self) -> None:
-        random = self.random
-        begin = random.randrange(FAULT_PERIOD * 3 // 4)
-        duration, position = random.randrange(2_000, FAULT_PERIOD - begin), random.randrange(self.size)
-        fault_name = random.choice(self.fault_names)
+        rng = self.rng
+        begin = rng.randrange(FAULT_PERIOD * 3 // 4)
+        duration, position = rng.randrange(2_000, FAULT_PERIOD - begin), rng.randrange(self.size)
+        fault_name = rng.choice(self.fault_names)
         if fault_name == "cut":
-            side = {member for member in range(self.size) if random.random() < 0.5}
+            side = {member for member in range(self.size) if rng.random() < 0.5}
             cut_links = [
                 (a, b)
                 for a in range(self.size)
                 for b in range(self.size)
                 if a in side and b not in side and a != b
             ]
-            cut_links += [(b, a) for a, b in cut_links] * random.choice((0, 1))
+            cut_links += [(b, a) for a, b in cut_links] * rng.choice((0, 1))
             self.call_later(begin, self.change_cuts, cut_links, 1)
             self.call_later(begin + duration, self.change_cuts, cut_links, -1)
         elif fault_name == "bad":
             fault = (
-                random.random() * 0.6,
-                random.random() * 0.5,
-                random.choice((200, 5_000, MAX_DATAGRAM_DELAY)),
+                rng.random() * 0.6,
+                rng.random() * 0.5,
+                rng.choice((200, 5_000, MAX_DATAGRAM_DELAY)),
             )
             self.call_later(begin, self.lossy_faults.append, fault)
             self.call_later(begin + duration, self.lossy_faults.remove, fault)
         elif fault_name == "kill":
             self.call_later(begin, self.kill, position)
-            self.call_later(begin + min(duration, random.choice((500, 60_000))), self.start, position)
+            self.call_later(begin + min(duration, rng.choice((500, 60_000))), self.start, position)
         else:
             self.call_later(begin, self.stop, position)
             self.call_later(begin + min(duration, 90_000), self.resume, position)
@@ -270,13 +264,13 @@
             self.cut_links[link] = self.cut_links.get(link, 0) + change
 
     def send(self, position: int, name: str, message: list) -> None:
-        receiver, random = int(name[1:]), self.random
+        receiver, rng = int(name[1:]), self.rng
         if self.cut_links.get((position, receiver)):
             return
         loss, duplication, max_delay = max(self.lossy_faults, default=(0.0, 0.0, 20))
-        for _ in range(1 + (random.random() < duplication)):
-            if random.random() >= loss:
-                self.call_later(3 + random.randrange(max_delay), self.receive, receiver, message)
+        for _ in range(1 + (rng.random() < duplication)):
+            if rng.random() >= loss:
+                self.call_later(3 + rng.randrange(max_delay), self.receive, receiver, message)
 
     def receive(self, position: int, message: list) -> None:
         if position in self.stopped:
--- a/basalthook/lab/links.py
+++ b/basalthook/lab/links.py
@@ -59,7 +59,7 @@
     """The active faults of links and their random effect on datagrams and messages."""
 
     def __init__(self, seed: int, proxies: int, hosts: int) -> None:
-        self.random, self.faults = Random(f"links of {seed}"), []
+        self.rng, self.faults = Random(f"links of {seed}"), []
         self.proxies, self.hosts = proxies, hosts
 
     def add_fault(self, fault) -> None:
@@ -81,30 +81,30 @@
         """Draws how the active faults treat one datagram."""
         if not self.faults:
             return DELIVERED
-        copies, corrupted, random = [0.0], False, self.random
+        copies, corrupted, rng = [0.0], False, self.rng
         for fault in self.active_between(source, target):
-            if fault.cuts or random.random() < fault.loses:
+            if fault.cuts or rng.random() < fault.loses:
                 return DatagramOutcome((), False)
-            if random.random() < fault.doubles:
-                copies.append(copies[0] + 0.01 * random.random())
+            if rng.random() < fault.doubles:
+                copies.append(copies[0] + 0.01 * rng.random())
             extra_delay = fault.delay
-            if random.random() < fault.reorders:  # delivered after datagrams that were sent later
-                extra_delay += (0.1 + 2 * fault.delay) * random.random()
+            if rng.random() < fault.reorders:  # delivered after datagrams that were sent later
+                extra_delay += (0.1 + 2 * fault.delay) * rng.random()
             copies = [at + extra_delay for at in copies]
-            corrupted |= random.random() < fault.spoils
+            corrupted |= rng.random() < fault.spoils
         return DatagramOutcome(tuple(copies), corrupted)
 
     def message_delay(self, source: str, target: str) -> float | None:
         """Extra delay in seconds of a message on a connection, or None if it is lost."""
         total_delay = 0.0
         for fault in self.active_between(source, target) if self.faults else ():
-            if fault.cuts or self.random.random() < fault.loses:
+            if fault.cuts or self.rng.random() < fault.loses:
                 return None
             total_delay += fault.delay
         return total_delay
 
 
-def flip_random_bit(data: bytes, random: Random) -> bytes:
+def flip_random_bit(data: bytes, rng: Random) -> bytes:
     """Returns a copy of the data with one random bit flipped."""
-    index = random.randrange(len(data))
-    return data[:index] + bytes([data[index] ^ 1 << random.randrange(8)]) + data[index + 1 :]
+    index = rng.randrange(len(data))
+    return data[:index] + bytes([data[index] ^ 1 << rng.randrange(8)]) + data[index + 1 :]
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -194,8 +194,8 @@
         ):
             self.faults.append({"proxy": proxy, "exit": process.returncode})
 
-    def excuse_open_transactions(self, proxy: int) -> None:
-        """Excuses the transactions open at a proxy about to be killed or stopped, as it can't answer them."""
+    def waive_open_transactions(self, proxy: int) -> None:
+        """Waives the answers to the transactions open at a proxy that is about to be killed or stopped."""
         self.addresses[proxy] = None
         for client in self.clients.connections:
             if client.proxy == proxy and client.open_request is not None:
@@ -207,7 +207,7 @@
     # ---- faults of proxies
 
     def kill_proxy(self, proxy: int) -> None:
-        self.excuse_open_transactions(proxy)
+        self.waive_open_transactions(proxy)
         if self.running[proxy] is not None:
             send_signal(self.running[proxy], signal.SIGKILL)
             self.running[proxy] = None
@@ -256,7 +256,7 @@
         send_signal(self.running[proxy], signal.SIGCONT)
 
     def stop_proxy(self, proxy: int) -> None:
-        self.excuse_open_transactions(proxy)
+        self.waive_open_transactions(proxy)
         self.stopped.add(proxy)
         send_signal(self.running[proxy], signal.SIGSTOP)
 
@@ -290,10 +290,10 @@
             if process is not None and process.returncode is None:
                 send_signal(process, signal.SIGKILL)
                 await process.wait()
-        for n in range(self.scenario.proxies):
-            stderr_file = self.folder / f"p{n}" / "stderr"
+        for proxy in range(self.scenario.proxies):
+            stderr_file = self.folder / f"p{proxy}" / "stderr"
             if stderr_file.exists() and (text := stderr_file.read_text("utf-8", "replace")):
-                self.faults.append({"proxy": n, "stderr": text[-500:]})
+                self.faults.append({"proxy": proxy, "stderr": text[-500:]})
         self.relays.close()
         self.close()
 
@@ -421,7 +421,7 @@
         begin = rig.begin_at = loop.time() + START_DELAY_S + START_DELAY_PER_PROXY_S * scenario.proxies
         rig.begin_ns = time.monotonic_ns() + int((begin - loop.time()) * 1e9)
         rig.clients = clients = Clients(scenario.load, wire, loop.time, scenario.seed, rig.addresses)
-        await asyncio.gather(*(rig.start_process(n) for n in range(scenario.proxies)))
+        await asyncio.gather(*(rig.start_process(proxy) for proxy in range(scenario.proxies)))
         await asyncio.sleep(begin - loop.time())
         not_ready = [f"p{n}" for n, address in enumerate(rig.addresses) if address is None]
         if not_ready:
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -69,7 +69,7 @@
     """
 
     def __init__(self, count: int, links: Links, clock, seed: int) -> None:
-        self.count, self.links, self.clock, self.random = count, links, clock, Random(f"spoils of {seed}")
+        self.count, self.links, self.clock, self.rng = count, links, clock, Random(f"spoils of {seed}")
         self.sockets: list[RelaySocket] = []
         self.member_addresses: list[tuple[str, int]] = []
         self.public_addresses: list[tuple[str, int]] = []
@@ -105,7 +105,7 @@
         self.inspect(sender, data, sent_at)
         outcome = self.links.datagram_outcome(f"p{sender}", f"p{receiver}")
         if outcome.corrupted:
-            data = flip_random_bit(data, self.random)
+            data = flip_random_bit(data, self.rng)
         for delay in outcome.copies:
             if delay:
                 asyncio.get_running_loop().call_later(delay, self.forward, sender, receiver, data)
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -42,18 +42,18 @@
 
     def __init__(self, seed: int, gossip_class=Gossip) -> None:
         """`gossip_class` is the class under test; tests pass one with a planted fault."""
-        self.random, self.now, self.heap, self.event_sequence = (
+        self.rng, self.now, self.heap, self.event_sequence = (
             Random(f"schedule {seed}"),
             1_000_000,
             [],
             count(),
         )
-        self.size = self.random.randint(2, 7)
+        self.size = self.rng.randint(2, 7)
         self.links, self.gossip_class = Links(seed, self.size, 0), gossip_class
         self.gossip_instances: list = [None] * self.size
         self.process_numbers, self.stopped, self.seed_count = [0] * self.size, {}, min(2, self.size)
-        self.rates = [self.random.choice(CLOCK_RATES) for _ in range(self.size)]
-        self.clock_offsets = [self.random.choice((0, 0, 36_000_000)) for _ in range(self.size)]
+        self.rates = [self.rng.choice(CLOCK_RATES) for _ in range(self.size)]
+        self.clock_offsets = [self.rng.choice((0, 0, 36_000_000)) for _ in range(self.size)]
         self.published_at: dict[tuple, int] = {}  # (author, life, sequence) -> simulation time
         self.violations: list[Violation] = []
 
@@ -65,16 +65,16 @@
 
     def play(self) -> list[Violation]:
         """Runs the schedule and returns the violations of its rules."""
-        self.begin, random = self.now, self.random
+        self.begin, rng = self.now, self.rng
         for member in range(self.size):
-            self.call_later(random.randrange(5_000), self.start, member)
-        for _ in range(random.randint(1, 6)):
-            self.schedule_fault(random)
-        for _ in range(random.randint(3, 25)):
+            self.call_later(rng.randrange(5_000), self.start, member)
+        for _ in range(rng.randint(1, 6)):
+            self.schedule_fault(rng)
+        for _ in range(rng.randint(3, 25)):
             self.call_later(
-                random.randrange(5_000, FAULT_PERIOD + QUIET_PERIOD // 2),
+                rng.randrange(5_000, FAULT_PERIOD + QUIET_PERIOD // 2),
                 self.publish_fact,
-                random.randrange(self.size),
+                rng.randrange(self.size),
             )
         end = self.begin + FAULT_PERIOD + QUIET_PERIOD
         while self.heap and self.heap[0][0] <= end:
@@ -83,14 +83,14 @@
         self.check_agreement()
         return self.violations
 
-    def schedule_fault(self, random: Random) -> None:
+    def schedule_fault(self, rng: Random) -> None:
         """Schedules one fault that ends before the quiet period begins."""
-        begin = random.randrange(FAULT_PERIOD * 3 // 4)
-        duration = random.randrange(2_000, FAULT_PERIOD - begin)
+        begin = rng.randrange(FAULT_PERIOD * 3 // 4)
+        duration = rng.randrange(2_000, FAULT_PERIOD - begin)
         names = [f"p{member}" for member in range(self.size)]
-        sides = [random.sample(names, random.randint(1, self.size - 1)) for _ in range(2)]
-        one_way, member = random.random() < 0.4, random.randrange(self.size)
-        fault_name = random.choice(("cut", "lossy", "kill", "stop"))
+        sides = [rng.sample(names, rng.randint(1, self.size - 1)) for _ in range(2)]
+        one_way, member = rng.random() < 0.4, rng.randrange(self.size)
+        fault_name = rng.choice(("cut", "lossy", "kill", "stop"))
         if fault_name == "cut" or fault_name == "lossy":
             fault = (
                 Cut(at=0, lasts=1, between=sides, one_way=one_way)
@@ -100,11 +100,11 @@
                     lasts=1,
                     between=sides,
                     one_way=one_way,
-                    loses=random.choice((0, 0.1, 0.5)),
-                    doubles=random.choice((0, 0.3)),
-                    reorders=random.choice((0, 0.3)),
-                    delay=random.choice((0, 0.05, 4.0)),
-                    spoils=random.choice((0, 0.1)),
+                    loses=rng.choice((0, 0.1, 0.5)),
+                    doubles=rng.choice((0, 0.3)),
+                    reorders=rng.choice((0, 0.3)),
+                    delay=rng.choice((0, 0.05, 4.0)),
+                    spoils=rng.choice((0, 0.1)),
                 )
             )
             self.call_later(begin, self.links.add_fault, fault)
@@ -131,11 +131,11 @@
             seeds,
             KEY,
             FACT_LIFETIMES,
-            Random(self.random.random()),
+            Random(self.rng.random()),
             lambda address, data: self.send(member, address, data),
         )
         gossip.begin(self.clock(member))
-        self.call_later(self.random.randrange(TICK_INTERVAL), self.tick, member, self.process_numbers[member])
+        self.call_later(self.rng.randrange(TICK_INTERVAL), self.tick, member, self.process_numbers[member])
 
     def kill(self, member: int) -> None:
         self.gossip_instances[member] = None
@@ -162,16 +162,16 @@
         gossip = self.gossip_instances[member]
         if gossip is None or member in self.stopped:
             return
-        kind, subject = self.random.choice(tuple(FACT_LIFETIMES)), self.random.choice("abc")
+        kind, subject = self.rng.choice(tuple(FACT_LIFETIMES)), self.rng.choice("abc")
         fact = gossip.table.publish(
-            self.clock(member), kind, subject, (self.random.randrange(9),), len(gossip.live())
+            self.clock(member), kind, subject, (self.rng.randrange(9),), len(gossip.live())
         )
         self.published_at[fact.author, fact.life, fact.sequence] = self.now
 
     def send(self, member: int, address: tuple[str, int], data: bytes) -> None:
         outcome = self.links.datagram_outcome(f"p{member}", address[0])
         for delay in outcome.copies:
-            sent_data = flip_random_bit(data, self.random) if outcome.corrupted else data
+            sent_data = flip_random_bit(data, self.rng) if outcome.corrupted else data
             self.call_later(
                 DATAGRAM_DELAY + int(delay * 10_000),
                 self.receive,
--- a/basalthook/lab/soak.py
+++ b/basalthook/lab/soak.py
@@ -16,8 +16,8 @@
 
 def draw_scenario(seed: int) -> Scenario:
     """Draws the scenario of this seed; any change to the order of draws in this module changes it."""
-    random, further_random = Random(f"soak {seed}"), Random(f"further faults of soak {seed}")
-    deadline = random.choice((0.8, 1.5, 3.0))
+    rng, further_rng = Random(f"soak {seed}"), Random(f"further faults of soak {seed}")
+    deadline = rng.choice((0.8, 1.5, 3.0))
     profiles = [
         Profile(name="read", effect="repeatable", work=0.01, service_goal=0.4, hard_limit=deadline, share=2),
         Profile(name="order", effect="once", work=0.015, service_goal=0.4, hard_limit=deadline),
@@ -27,32 +27,32 @@
             work=0.01,
             service_goal=0.4,
             hard_limit=deadline,
-            window=random.choice((0.3, 0.6, 2.0)),
+            window=rng.choice((0.3, 0.6, 2.0)),
         ),
     ]
-    has_idle_clients = random.random() < 0.3
+    has_idle_clients = rng.random() < 0.3
     load = Load(
-        rate=random.uniform(60, 160),
+        rate=rng.uniform(60, 160),
         profiles=profiles,
-        leave=random.choice((0.0, 0.1, 0.3)),
+        leave=rng.choice((0.0, 0.1, 0.3)),
         ahead=0.5,
-        retries=random.choice((0, 2)),
-        idle=random.randint(120, 260) if has_idle_clients else 0,
-        stalled=further_random.choice((0, 0, 3)),
-        hurried=further_random.choice((0.0, 0.05)),
+        retries=rng.choice((0, 2)),
+        idle=rng.randint(120, 260) if has_idle_clients else 0,
+        stalled=further_rng.choice((0, 0, 3)),
+        hurried=further_rng.choice((0.0, 0.05)),
     )
     discovery = Discovery(
-        mode=random.choice(("pushed", "on_request")), notice=0.05, ask_within=random.choice((2.0, 5.0, 10.0))
+        mode=rng.choice(("pushed", "on_request")), notice=0.05, ask_within=rng.choice((2.0, 5.0, 10.0))
     )
     chances = (
         None
-        if random.random() < 0.5
+        if rng.random() < 0.5
         else Chances(
-            accept=random.uniform(0, 0.5),
-            create=random.uniform(0, 0.1),
-            connect=random.uniform(0, 0.2),
-            short=random.uniform(0, 0.3),
-            broken=random.uniform(0, 0.01),
+            accept=rng.uniform(0, 0.5),
+            create=rng.uniform(0, 0.1),
+            connect=rng.uniform(0, 0.2),
+            short=rng.uniform(0, 0.3),
+            broken=rng.uniform(0, 0.01),
         )
     )
     return Scenario(
@@ -60,108 +60,102 @@
         seconds=LOAD_SECONDS,
         hosts=[HostKind(count=HOSTS, zones=["a", "b"])],
         load=load,
-        rules=Rules(drain_grace=random.choice((0.3, 0.5)), answer_late=LATE_ANSWER_S),
+        rules=Rules(drain_grace=rng.choice((0.3, 0.5)), answer_late=LATE_ANSWER_S),
         discovery=discovery,
         proxies=PROXIES,
         seed=seed,
         system_calls=chances,
-        connect_timeout=further_random.choice((0.25, 1.5)),
-        keepalive=further_random.choice((0.5, 30.0)),
-        faults=base_faults(random) + further_faults(further_random, discovery.mode),
+        connect_timeout=further_rng.choice((0.25, 1.5)),
+        keepalive=further_rng.choice((0.5, 30.0)),
+        faults=base_faults(rng) + further_faults(further_rng, discovery.mode),
     )
 
 
-def base_faults(random: Random) -> list:
+def base_faults(rng: Random) -> list:
     """Faults of discovery, hosts and proxies, and wall clocks that are wrong from the start."""
     drawn_faults = []
-    if random.random() < 0.8:
+    if rng.random() < 0.8:
         drawn_faults.append(
             faults.DiscoveryFault(
-                at=random.uniform(0, 3),
-                lasts=random.uniform(0.5, 5),
-                how=random.choice(("refuses", "down", "slow")),
-                delay=random.uniform(0.1, 3.0),
+                at=rng.uniform(0, 3),
+                lasts=rng.uniform(0.5, 5),
+                how=rng.choice(("refuses", "down", "slow")),
+                delay=rng.uniform(0.1, 3.0),
             )
         )
-    if random.random() < 0.5:
+    if rng.random() < 0.5:
         drawn_faults.append(
             faults.Watches(
-                at=random.uniform(0, FAULT_SECONDS), silent=random.random() < 0.7, more=random.randint(0, 1)
+                at=rng.uniform(0, FAULT_SECONDS), silent=rng.random() < 0.7, more=rng.randint(0, 1)
             )
         )
     for proxy in range(PROXIES):
-        drawn_faults += proxy_faults(random, proxy)
-    hosts = random.sample(range(HOSTS), 5)
+        drawn_faults += proxy_faults(rng, proxy)
+    hosts = rng.sample(range(HOSTS), 5)
     drawn_faults.append(
-        faults.Drain(at=random.uniform(1, FAULT_SECONDS), lasts=60, hosts=hosts[: random.randint(1, 2)])
+        faults.Drain(at=rng.uniform(1, FAULT_SECONDS), lasts=60, hosts=hosts[: rng.randint(1, 2)])
     )
     kinds = (faults.Silent, faults.Errors, faults.LoseAnswers, faults.Kill, faults.Slow)
-    for number in range(2, random.randint(3, 4)):
+    for number in range(2, rng.randint(3, 4)):
         drawn_faults.append(
-            random.choice(kinds)(
-                at=random.uniform(0, FAULT_SECONDS),
-                lasts=random.uniform(0.5, 4),
+            rng.choice(kinds)(
+                at=rng.uniform(0, FAULT_SECONDS),
+                lasts=rng.uniform(0.5, 4),
                 hosts=hosts[number : number + 1],
             )
         )
-    if random.random() < 0.4:
+    if rng.random() < 0.4:
         drawn_faults.append(
             faults.ClockFault(
                 at=0,
                 lasts=60,
-                ahead=random.choice(WALL_CLOCK_OFFSETS_S),
-                proxies=random.sample(range(PROXIES), 2),
+                ahead=rng.choice(WALL_CLOCK_OFFSETS_S),
+                proxies=rng.sample(range(PROXIES), 2),
             )
         )
     return drawn_faults
 
 
-def further_faults(random: Random, mode: str) -> list:
+def further_faults(rng: Random, mode: str) -> list:
     """Faults of connections to hosts, of answers and of host lists, each for a limited time."""
     drawn_faults = []
 
     def common_fields() -> dict:
         return {
-            "at": random.uniform(0, FAULT_SECONDS),
-            "lasts": random.uniform(1.0, 6.0),
-            "hosts": random.sample(range(HOSTS), random.randint(1, 4)),
+            "at": rng.uniform(0, FAULT_SECONDS),
+            "lasts": rng.uniform(1.0, 6.0),
+            "hosts": rng.sample(range(HOSTS), rng.randint(1, 4)),
         }
 
-    if random.random() < 0.6:
-        method = random.choice(("closes", "resets", "forgets"))
-        drawn_faults.append(
-            faults.Resting(how=method, after=random.choice((0.0, 0.02, 0.1)), **common_fields())
-        )
-    if random.random() < 0.5:
-        method = random.choice(("short", "reset", "garbage", "twice"))
-        drawn_faults.append(
-            faults.SpoilAnswers(how=method, share=random.uniform(0.05, 0.6), **common_fields())
-        )
-    if random.random() < 0.5:
+    if rng.random() < 0.6:
+        method = rng.choice(("closes", "resets", "forgets"))
+        drawn_faults.append(faults.Resting(how=method, after=rng.choice((0.0, 0.02, 0.1)), **common_fields()))
+    if rng.random() < 0.5:
+        method = rng.choice(("short", "reset", "garbage", "twice"))
+        drawn_faults.append(faults.SpoilAnswers(how=method, share=rng.uniform(0.05, 0.6), **common_fields()))
+    if rng.random() < 0.5:
         drawn_faults.append(faults.LateConnections(**common_fields()))
-    if random.random() < 0.6:
+    if rng.random() < 0.6:
         methods = ("ends", "whole") if mode == "pushed" else ("ends", "whole", "spoilt")
-        at, lasts = random.uniform(0, FAULT_SECONDS), random.uniform(1.0, 5.0)
-        drawn_faults.append(faults.Lists(at=at, lasts=lasts, how=random.choice(methods)))
+        at, lasts = rng.uniform(0, FAULT_SECONDS), rng.uniform(1.0, 5.0)
+        drawn_faults.append(faults.Lists(at=at, lasts=lasts, how=rng.choice(methods)))
     return drawn_faults
 
 
-def proxy_faults(random: Random, proxy: int) -> list:
+def proxy_faults(rng: Random, proxy: int) -> list:
     """Repeated reconfiguration, termination or kill, and pauses of one proxy; they may overlap."""
-    drawn_faults, at = [], random.uniform(0.5, FAULT_SECONDS / 2)
-    if random.random() < 0.6:
+    drawn_faults, at = [], rng.uniform(0.5, FAULT_SECONDS / 2)
+    if rng.random() < 0.6:
         drawn_faults.append(
-            faults.Reconfigure(
-                at=at, lasts=random.uniform(0.2, 2.0), proxies=[proxy], times=random.randint(1, 6)
-            )
+            faults.Reconfigure(at=at, lasts=rng.uniform(0.2, 2.0), proxies=[proxy], times=rng.randint(1, 6))
         )
-    if random.random() < 0.5:
+    if rng.random() < 0.5:
         drawn_faults.append(
-            faults.Terminate(at=at + random.uniform(0, 2.5), lasts=RESTART_DELAY_S, proxies=[proxy])
+            faults.Terminate(at=at + rng.uniform(0, 2.5), lasts=RESTART_DELAY_S, proxies=[proxy])
         )
-    elif random.random() < 0.3:
-        drawn_faults.append(faults.KillProxy(at=at + random.uniform(0, 2.5), lasts=1.0, proxies=[proxy]))
-    for _ in range(random.randint(0, 3)):
-        start_time = random.uniform(0, FAULT_SECONDS)
-        drawn_faults.append(faults.Pause(at=start_time, lasts=random.uniform(0.02, 0.15), proxies=[proxy]))
+    elif rng.random() < 0.3:
+        drawn_faults.append(faults.KillProxy(at=at + rng.uniform(0, 2.5), lasts=1.0, proxies=[proxy]))
+    for _ in range(rng.randint(0, 3)):
+        start_time = rng.uniform(0, FAULT_SECONDS)
+        drawn_faults.append(faults.Pause(at=start_time, lasts=rng.uniform(0.02, 0.15), proxies=[proxy]))
     return drawn_faults
--- a/basalthook/lab/syscalls.py
+++ b/basalthook/lab/syscalls.py
@@ -30,11 +30,11 @@
 
 def faulty_socket_class(chances: Chances) -> type[socket.socket]:
     """Returns a replacement for `socket.socket`; creation fails for IPv4 sockets only."""
-    random, real_class = Random(f"system calls {chances.seed}"), socket.socket
+    rng, real_class = Random(f"system calls {chances.seed}"), socket.socket
 
     def raise_by_chance(share: float, error_numbers: tuple[int, ...]) -> None:
-        if share and random.random() < share:
-            error_number = random.choice(error_numbers)
+        if share and rng.random() < share:
+            error_number = rng.choice(error_numbers)
             raise OSError(error_number, os.strerror(error_number))
 
     class FaultySocket(real_class):
@@ -55,11 +55,11 @@
             return super().connect(address)
 
         def recvmsg_into(self, buffers, *args):
-            if self.outgoing and chances.broken and random.random() < chances.broken:
+            if self.outgoing and chances.broken and rng.random() < chances.broken:
                 self.shutdown(socket.SHUT_RDWR)
                 raise_by_chance(1.0, READ_ERRORS)
-            if chances.short and random.random() < chances.short:
-                buffers = [memoryview(buffers[0])[: random.randint(1, 40)]]
+            if chances.short and rng.random() < chances.short:
+                buffers = [memoryview(buffers[0])[: rng.randint(1, 40)]]
             return super().recvmsg_into(buffers, *args)
 
         def sendmsg(self, parts, *args):
@@ -70,10 +70,10 @@
 
         def shorten(self, parts):
             """Returns all parts, or by chance a prefix of the first, for a short write."""
-            if not chances.short or random.random() >= chances.short:
+            if not chances.short or rng.random() >= chances.short:
                 return parts
             data = memoryview(parts[0]).cast("B")
-            return [data[: random.randint(1, max(1, len(data)))]]
+            return [data[: rng.randint(1, max(1, len(data)))]]
 
     return FaultySocket
 
--- a/basalthook/lab/talking.py
+++ b/basalthook/lab/talking.py
@@ -54,7 +54,7 @@
         self.process_numbers[member] += 1
         life = max(1, int(fleet.clock_reading(member) * 1000))
         seeds = [(f"p{seed}", 1) for seed in range(min(SEED_COUNT, self.count))]
-        random = Random(f"member {member} of {fleet.seed}, life {self.process_numbers[member]}")
+        rng = Random(f"member {member} of {fleet.seed}, life {self.process_numbers[member]}")
         gossip = Gossip(
             name,
             (name, 1),
@@ -62,14 +62,14 @@
             seeds,
             KEY,
             FACT_LIFETIMES,
-            random,
+            rng,
             lambda address, data: self.send(member, address, data),
             lambda event, **fields: self.log_events.append((fleet.now, member, event, fields)),
         )
         table_publish = gossip.table.publish
 
-        def publish_and_note_time(*given):
-            fact = table_publish(*given)
+        def publish_and_note_time(*args):
+            fact = table_publish(*args)
             self.published_at[fact.author, fact.life, fact.sequence] = self.fleet.now
             return fact
 
