--- a/basalthook/lab/explore.py
+++ b/basalthook/lab/explore.py
@@ -2,8 +2,9 @@
 
 There are three voters, of which two may be candidates. Messages may be lost, duplicated and reordered, one
 voter may restart and lose its state, and clock rates are at both ends of the permitted drift. Successor
-states are computed by `fleet.election` itself, which is loaded with a state and read back. Times are chosen
-so that the bound is tight: TERM on the fastest clock is the time that remains to a leader on the slowest.
+states are computed by `fleet.election` itself: a state is loaded into its members and read back after a step.
+Times are chosen so that the bound is tight: TERM on the fastest clock is the time that remains to a leader on
+the slowest.
 `python -m basalthook.lab.explore` prints the number of states.
 """
 
--- a/basalthook/lab/load.py
+++ b/basalthook/lab/load.py
@@ -1,7 +1,8 @@
 """Open-loop load: clients send by a random schedule that does not wait for answers.
 
 A latency counts from when the transaction was due, so a proxy that stalls can't hide its delay by slowing the
-load down (coordinated omission). Each part draws from its own random generator.
+load down (coordinated omission). Arrivals, requests, the choice of a proxy and the behaviour of clients each
+draw from a random generator of their own.
 """
 
 import asyncio
--- a/basalthook/lab/timeline.py
+++ b/basalthook/lab/timeline.py
@@ -26,7 +26,7 @@
     "ready",
     "ending",
 )
-MAX_LINES = 80  # the last ones are kept
+MAX_LINES = 80  # of a timeline; earlier lines are omitted
 
 
 class Line(NamedTuple):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -150,7 +150,7 @@
 
 
 class ColdHostGuard(unittest.TestCase):
-    """Cold hosts in a retry storm are protected by one guard, with each other defence disabled in turn."""
+    """One guard protects cold hosts in a retry storm, whichever of the other defences is disabled."""
 
     DEFENCES = {
         "at_limit": lambda self: False,
@@ -160,24 +160,26 @@
         "is_slow": lambda self, tx: False,
     }
 
-    def storm(self):
-        """100 proxies with five requests a second each; of 12 hosts five fail and two are cold."""
-        storm = [
+    def simulate_retry_storm(self):
+        """Simulates 100 proxies with five requests a second each; of 12 hosts five fail and two are cold."""
+        storm_faults = [
             faults.Kill(at=4, hosts=[0, 1], lasts=0.5),
             faults.Errors(at=5, hosts=[2, 3, 4, 5, 6], lasts=9, share=1),
         ]
         rules = msgspec.structs.replace(RULES, cold_share=0.1, fall_multiple=3.0)
-        _, result = simulate(12, rate=500, seconds=10, proxies=100, keys=300, rules=rules, faults=storm)
+        _, result = simulate(
+            12, rate=500, seconds=10, proxies=100, keys=300, rules=rules, faults=storm_faults
+        )
         return result.verdict
 
     def test_cold_hosts_are_not_overloaded_with_any_other_defence_disabled(self):
         for name, replacement in self.DEFENCES.items():
             with self.subTest(name), patch.object(Hosts, name, replacement):
-                self.assertEqual(self.storm().rules["pushed_over"], 0)
+                self.assertEqual(self.simulate_retry_storm().rules["pushed_over"], 0)
 
     def test_cold_hosts_are_overloaded_without_the_guard(self):
         with patch.object(Hosts, "admits", lambda self, tx, server: self.is_eligible(tx, server.entry)):
-            self.assertGreater(self.storm().rules["pushed_over"], 0)
+            self.assertGreater(self.simulate_retry_storm().rules["pushed_over"], 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -6,12 +6,12 @@
 from basalthook.lab import processes, scenario
 
 
-def run_scenario(name, rig=None, **changes):
+def run_scenario(name, rigs=None, **changes):
     """Run a scenario of the lab on real processes; `changes` maps text in its file to a replacement."""
     text = files("basalthook.lab").joinpath("scenarios", name).read_text("utf-8")
     for old, new in changes.items():
         text = text.replace(old, new)
-    return processes.play(scenario.parse(text, name), rig)
+    return processes.play(scenario.parse(text, name), rigs)
 
 
 class DiscoveryFaults(unittest.TestCase):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,8 +23,8 @@
 from basalthook.membership import wire
 
 BASE_SCENARIO = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
-SILENT = "[[faults]]\nwhat = 'silent'\nat = 2\nlasts = 6\nhosts = [0, 1, 2]\n"
-LOSSY = """[[faults]]
+SILENT_FAULT = "[[faults]]\nwhat = 'silent'\nat = 2\nlasts = 6\nhosts = [0, 1, 2]\n"
+LOSSY_FAULT = """[[faults]]
 what = "lossy"
 at = 0
 lasts = 12
@@ -43,15 +43,15 @@
         # already counted as known.
         scenario_text = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
         for mode in ("pushed", "on_request"):
-            rig = []
+            rigs = []
             result = processes.play(
-                scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rig
+                scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rigs
             )
             self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
             self.assertGreater(result.verdict.service, 0.95)
             drained = [
                 entry
-                for entry in rig[0].wire
+                for entry in rigs[0].wire
                 if isinstance(entry, HostStateSent) and entry.state == "draining"
             ]
             self.assertEqual(len({(entry.host, entry.proxy) for entry in drained}), 3 * 6)
@@ -87,18 +87,18 @@
 
         Checks the rules and that no expired fact was used.
         """
-        head, shares, rig = (
+        head, shares, rigs = (
             BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
             BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
             [],
         )
         head = head.replace("proxies = 60", "proxies = 12").replace("seconds = 50", f"seconds = {seconds}")
-        parsed_scenario = scenario.parse("\n".join((head, SILENT, *faults, shares)), "day.toml")
-        result = processes.play(parsed_scenario, rig)
+        parsed_scenario = scenario.parse("\n".join((head, SILENT_FAULT, *faults, shares)), "day.toml")
+        result = processes.play(parsed_scenario, rigs)
         self.assertEqual(result.faults, [])
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertEqual((result.fleet_figures["over_age"], result.fleet_figures["younger"]), (0, 0))
-        return rig[0], result
+        return rigs[0], result
 
     def test_no_host_exceeds_its_places_when_voters_are_killed_or_stopped(self):
         head = BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")].replace("proxies = 60", "proxies = 12")
@@ -106,7 +106,7 @@
             "[[faults]]\nwhat = 'kill_proxy'\nat = 5\nlasts = 1\nproxies = [0]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 8\nlasts = 3\nproxies = [1, 5]\n",
             "[[faults]]\nwhat = 'cut'\nat = 3\nlasts = 7\nbetween = [['p6-8'], ['p0-5']]\n",
-            LOSSY,
+            LOSSY_FAULT,
             "[fleet]\nshares = ['limits', 'verdicts']\n[[fleet.limits]]\nname = 'places'\n"
             "kind = 'host'\namount = 3\nfloor = 0.34\n",
         )
@@ -126,7 +126,7 @@
         }
 
     def test_silent_hosts_are_out_everywhere_with_lost_doubled_late_and_corrupted_datagrams(self):
-        rig, result = self.play(LOSSY)
+        rig, result = self.play(LOSSY_FAULT)
         self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         self.assertGreater(len(self.hosts_out(rig)), 30)
         self.assertGreater(result.verdict.service, 0.95)
