--- a/basalthook/lab/command.py
+++ b/basalthook/lab/command.py
@@ -11,7 +11,7 @@
 
 from . import decisions, processes, scenario, show, soak, timeline
 from .result import Result
-from .trial import play
+from .trial import run_scenario as run_on_sockets
 
 LabError = scenario.ScenarioError
 
@@ -24,7 +24,7 @@
     loaded, console = read_scenario(path, seed, seconds), Console()
     console.print(show.describe(loaded), highlight=False)
     with show.LiveTable(loaded, console) as live_table:
-        result = play(loaded, live_table)
+        result = run_on_sockets(loaded, live_table)
     return report(loaded, result, console, output_path)
 
 
@@ -32,7 +32,11 @@
     """Runs a scenario at depth `decisions`, `sockets` or `processes`."""
     loaded, console = read_scenario(path, seed, None), Console()
     with console.status(f"{loaded.name}, depth {depth}"):
-        result = {"decisions": decisions.play, "sockets": play, "processes": processes.play}[depth](loaded)
+        result = {
+            "decisions": decisions.run_scenario,
+            "sockets": run_on_sockets,
+            "processes": processes.run_scenario,
+        }[depth](loaded)
     return report(loaded, result, console, output_path)
 
 
@@ -62,7 +66,7 @@
     After a failure it also prints how to repeat it and a timeline.
     """
     rigs: list[processes.Rig] = []
-    result = processes.play(soak.draw_scenario(seed), rigs)
+    result = processes.run_scenario(soak.draw_scenario(seed), rigs)
     verdict, passed = result.verdict, result.verdict.passed and not result.faults
     answers = sum(verdict.answers.values())
     console.print(
--- a/basalthook/lab/decisions.py
+++ b/basalthook/lab/decisions.py
@@ -529,7 +529,7 @@
         )
 
 
-def play(scenario: Scenario) -> Result:
+def run_scenario(scenario: Scenario) -> Result:
     """Runs the scenario with its own seed; raises ScenarioError for faults that need sockets."""
     if any(isinstance(fault, Maintain | PROCESS_ONLY_FAULTS) for fault in scenario.faults):
         raise ScenarioError(
--- a/basalthook/lab/leases.py
+++ b/basalthook/lab/leases.py
@@ -202,7 +202,7 @@
 
     # ---- the run
 
-    def play(self) -> list[Violation]:
+    def run(self) -> list[Violation]:
         """Runs the schedule and returns the violations of its rules."""
         rng, self.begin = self.rng, self.now
         self.end = self.begin + FAULT_PERIOD + QUIET_PERIOD
@@ -312,7 +312,7 @@
 
 
 def run_seed(seed: int) -> tuple[int, list[Violation]]:
-    return seed, LeaseSchedule(seed).play()
+    return seed, LeaseSchedule(seed).run()
 
 
 def main() -> None:
--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -400,7 +400,7 @@
             os.kill(process.pid, signal_number)
 
 
-def play(scenario: Scenario, rigs: list | None = None) -> Result:
+def run_scenario(scenario: Scenario, rigs: list | None = None) -> Result:
     """Runs the scenario; the rig is appended to `rigs`, if given, for inspection after the run.
 
     Raises ScenarioError for faults that this depth doesn't support, and if a proxy is not ready in time.
@@ -409,10 +409,10 @@
         raise ScenarioError(
             f"{scenario.name}: vanish, long_way and maintain are not supported at depth `processes`"
         )
-    return asyncio.run(_play(scenario, rigs))
+    return asyncio.run(_run_scenario(scenario, rigs))
 
 
-async def _play(scenario: Scenario, rigs: list | None) -> Result:
+async def _run_scenario(scenario: Scenario, rigs: list | None) -> Result:
     loop, wire, folder = asyncio.get_running_loop(), [], Path(tempfile.mkdtemp(prefix="basalthook-lab-"))
     rig = Rig(scenario, wire, loop.time, folder)
     fault_timers, load_task = [], None
--- a/basalthook/lab/schedules.py
+++ b/basalthook/lab/schedules.py
@@ -63,7 +63,7 @@
     def clock(self, member: int) -> int:
         return int(self.now * self.rates[member]) + self.clock_offsets[member]
 
-    def play(self) -> list[Violation]:
+    def run(self) -> list[Violation]:
         """Runs the schedule and returns the violations of its rules."""
         self.begin, rng = self.now, self.rng
         for member in range(self.size):
@@ -252,7 +252,7 @@
 def main(first: int, schedule_count: int) -> int:
     rule_counts = Counter()
     for seed in range(first, first + schedule_count):
-        violations = GossipSchedule(seed).play()
+        violations = GossipSchedule(seed).run()
         if violations:
             rule_counts[violations[0].rule] += 1
             print(f"seed {seed}: {violations[0]}", flush=True)
--- a/basalthook/lab/show.py
+++ b/basalthook/lab/show.py
@@ -18,7 +18,7 @@
 
 
 class LiveTable:
-    """A live table of all hosts; an instance is the `on_progress` argument of `trial.play`."""
+    """A live table of all hosts; an instance is the `on_progress` argument of `trial.run_scenario`."""
 
     def __init__(self, scenario: Scenario, console: Console) -> None:
         self.scenario, self.console, self.live = scenario, console, None
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -46,16 +46,16 @@
     }
 
 
-def play(scenario: Scenario, on_progress=None) -> Result:
+def run_scenario(scenario: Scenario, on_progress=None) -> Result:
     """Runs the scenario; raises ScenarioError if it has faults that this depth does not support.
 
     `on_progress(seconds, fleet, clients, wire)`, if given, is called every 0.25 s during the run.
     """
     selector = TimedSelector()
-    return run(_play(scenario, on_progress, selector), selector)
+    return run(_run_scenario(scenario, on_progress, selector), selector)
 
 
-async def _play(scenario: Scenario, on_progress, selector: TimedSelector) -> Result:
+async def _run_scenario(scenario: Scenario, on_progress, selector: TimedSelector) -> Result:
     loop, wire, event_counts = asyncio.get_running_loop(), [], EventCounts()
     if any(isinstance(fault, Vanish | LongWay) for fault in scenario.faults):
         raise ScenarioError(f"{scenario.name}: vanish and long_way need virtual time, see --depth")
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -11,7 +11,7 @@
     text = files("basalthook.lab").joinpath("scenarios", name).read_text("utf-8")
     for old, new in changes.items():
         text = text.replace(old, new)
-    return processes.play(scenario.parse(text, name), rigs)
+    return processes.run_scenario(scenario.parse(text, name), rigs)
 
 
 class DiscoveryFaults(unittest.TestCase):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -255,7 +255,7 @@
                 continue  # run at full length by tests.test_processes and tests.test_incidents
             on_sockets = any(isinstance(fault, faults.Maintain) for fault in loaded.faults)
             loaded = scenario.msgspec.structs.replace(loaded, seconds=6.0 if on_sockets else 9.0)
-            verdict = (trial if on_sockets else decisions).play(loaded).verdict
+            verdict = (trial if on_sockets else decisions).run_scenario(loaded).verdict
             self.assertTrue(verdict.passed, (name, verdict.first_violation))
             self.assertGreater(verdict.service, 0.5, name)
 
@@ -280,20 +280,20 @@
 
 
 class TrialOnSockets(unittest.TestCase):
-    def play(self, seconds, faults):
+    def run_trial(self, seconds, faults):
         loaded = scenario.parse(TRY_SCENARIO, "try.toml")
         changes = {"seconds": seconds, "faults": faults, "discovery": scenario.Discovery(notice=0.1)}
-        return trial.play(scenario.msgspec.structs.replace(loaded, **changes))
+        return trial.run_scenario(scenario.msgspec.structs.replace(loaded, **changes))
 
     def test_all_rules_are_kept_when_a_host_is_killed_and_restarted(self):
-        result = self.play(3.0, [faults.Kill(at=0.5, hosts=[0], lasts=1.0)])
+        result = self.run_trial(3.0, [faults.Kill(at=0.5, hosts=[0], lasts=1.0)])
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(result.verdict.service, 0.9)
         self.assertEqual(result.faults, [])
 
     def test_a_proxy_that_repeats_a_transaction_that_may_have_run_is_reported(self):
         with patch.object(Hosts, "may_repeat", lambda self, tx: True):
-            result = self.play(1.5, [faults.Errors(at=0.1, hosts=[0, 1, 2, 3], lasts=2.0, share=1.0)])
+            result = self.run_trial(1.5, [faults.Errors(at=0.1, hosts=[0, 1, 2, 3], lasts=2.0, share=1.0)])
         self.assertGreater(result.verdict.rules["doubled"], 0)
 
     def test_the_command_prints_its_result_and_exits_with_2_for_a_bad_file(self):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -82,7 +82,7 @@
 class Schedules(unittest.TestCase):
     def test_no_limit_is_exceeded_and_free_capacity_is_used(self):
         for seed in (*range(10), 36, 59, 154, 432):  # the last four failed during development
-            self.assertEqual(LeaseSchedule(seed).play(), [], seed)
+            self.assertEqual(LeaseSchedule(seed).run(), [], seed)
 
     def test_planted_faults_are_detected(self):
         for member_class, rule in (
@@ -93,7 +93,7 @@
             found = (
                 violation.rule
                 for seed in range(60)
-                for violation in LeaseSchedule(seed, member_class, ("bad",)).play()
+                for violation in LeaseSchedule(seed, member_class, ("bad",)).run()
             )
             self.assertEqual(next(found, None), rule, member_class)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -286,7 +286,7 @@
 class Schedules(unittest.TestCase):
     def test_random_schedules_of_faults_violate_no_rule(self):
         for seed in range(1, 61):
-            self.assertEqual(GossipSchedule(seed).play(), [], f"seed {seed}")
+            self.assertEqual(GossipSchedule(seed).run(), [], f"seed {seed}")
 
     def test_planted_faults_are_detected(self):
         for planted_class, seed, rule in (
@@ -296,7 +296,7 @@
         ):
             self.assertIn(
                 rule,
-                {violation.rule for violation in GossipSchedule(seed, planted_class).play()},
+                {violation.rule for violation in GossipSchedule(seed, planted_class).run()},
                 planted_class.__name__,
             )
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -44,7 +44,7 @@
         scenario_text = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
         for mode in ("pushed", "on_request"):
             rigs = []
-            result = processes.play(
+            result = processes.run_scenario(
                 scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rigs
             )
             self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
@@ -82,7 +82,7 @@
 
 
 class ProxyFleets(unittest.TestCase):
-    def play(self, *faults, seconds=13):
+    def run_fleet(self, *faults, seconds=13):
         """Runs 12 proxies with three silent hosts and `faults`.
 
         Checks the rules and that no expired fact was used.
@@ -94,7 +94,7 @@
         )
         head = head.replace("proxies = 60", "proxies = 12").replace("seconds = 50", f"seconds = {seconds}")
         parsed_scenario = scenario.parse("\n".join((head, SILENT_FAULT, *faults, shares)), "day.toml")
-        result = processes.play(parsed_scenario, rigs)
+        result = processes.run_scenario(parsed_scenario, rigs)
         self.assertEqual(result.faults, [])
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertEqual((result.fleet_figures["over_age"], result.fleet_figures["younger"]), (0, 0))
@@ -113,40 +113,40 @@
         parsed_scenario = scenario.parse(
             "\n".join((head.replace("seconds = 50", "seconds = 13"), *faults)), "day.toml"
         )
-        result = processes.play(parsed_scenario)
+        result = processes.run_scenario(parsed_scenario)
         self.assertEqual((result.faults, result.fleet_figures["limits"]["places"]["over_most"]), ([], 0.0))
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(result.verdict.service, 0.5)
 
     def hosts_out(self, rig):
         return {
-            (fields["id"], n)
-            for _, n, event, fields in rig.log_events
+            (fields["id"], proxy)
+            for _, proxy, event, fields in rig.log_events
             if event == "verdict" and fields["state"] == OUT
         }
 
     def test_silent_hosts_are_out_everywhere_with_lost_doubled_late_and_corrupted_datagrams(self):
-        rig, result = self.play(LOSSY_FAULT)
+        rig, result = self.run_fleet(LOSSY_FAULT)
         self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         self.assertGreater(len(self.hosts_out(rig)), 30)
         self.assertGreater(result.verdict.service, 0.95)
         self.assertIsNotNone(result.recovery[0])
 
     def test_members_agree_again_after_a_partition_with_clocks_an_hour_ahead(self):
-        rig, result = self.play(
+        rig, result = self.run_fleet(
             "[[faults]]\nwhat = 'cut'\nat = 1\nlasts = 5\nbetween = [['p0-5'], ['p6-11']]\n",
             "[[faults]]\nwhat = 'clock'\nat = 0\nlasts = 6\nahead = 3600\nrate = 1.02\nproxies = [1, 2, 8]\n",
         )
         self.assertEqual({host for host, at in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         last_states = {}
-        for at, n, event, fields in rig.log_events:
+        for at, proxy, event, fields in rig.log_events:
             if event == "member" and at < rig.begin_at + 13:
-                last_states[n, fields["name"]] = fields["state"]
+                last_states[proxy, fields["name"]] = fields["state"]
         self.assertEqual({state for state in last_states.values()}, {"alive"})
         self.assertGreater(result.verdict.service, 0.95)
 
     def test_other_proxies_serve_while_some_are_killed_or_stopped_for_longer_than_a_fact_lifetime(self):
-        rig, result = self.play(
+        rig, result = self.run_fleet(
             "[[faults]]\nwhat = 'kill_proxy'\nat = 2.4\nlasts = 2\nproxies = [0, 1, 2]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 2.6\nlasts = 4\nproxies = [5, 6]\n",
         )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
     def test_all_rules_hold_in_random_scenarios_of_many_faults(self):
         for seed in (2, 5, 6):
             with self.subTest(seed=seed):
-                result = processes.play(soak.draw_scenario(seed))
+                result = processes.run_scenario(soak.draw_scenario(seed))
                 self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
 
 
