--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -41,8 +41,8 @@
 # after SIGTERM of the terminate fault: clients still open new connections this long, and SIGKILL follows this
 # long after the longest hard limit
 NEW_CONNECTIONS_S, KILL_DELAY_S = 0.3, 0.7
-SOCKET_LIMIT = 256
-SEED_COUNT = 3
+SOCKET_LIMIT = 256  # of each proxy, in its start-up file
+SEED_COUNT = 3  # the first members are the seeds of all
 CLOCK_DRIFT = 0.03  # tolerance on the age of a fact, as a fraction: clock rates differ by up to 2 %
 RECOVERY_S = 5.0  # a suspicion of an affected proxy is not false until this long after the fault
 LOG_READ_DELAY_S = 0.1  # tolerance from the writing of a log line to its reading by the rig
@@ -65,8 +65,9 @@
         self.readers: set[asyncio.Task] = (
             set()
         )  # tasks that read a log; each is removed when its process ends
-        self.stopped: set[int] = set()
+        self.stopped: set[int] = set()  # proxies stopped by SIGSTOP
         self.faults: list[dict] = []  # faults that proxies logged, and unexpected exits and output
+        # when the scenario begins: nanoseconds of the monotonic clock, seconds of the rig's clock
         self.begin_ns, self.begin_at = 0, 0.0
         self.wall_clock_offset = time.time() - clock()  # wall clock minus the rig's clock, seconds
 
--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -73,14 +73,14 @@
         self.sockets: list[RelaySocket] = []
         self.member_addresses: list[tuple[str, int]] = []
         self.public_addresses: list[tuple[str, int]] = []
-        self.number_by_port: dict[int, int] = {}
+        self.number_by_port: dict[int, int] = {}  # port of a member's own socket -> number of the member
         self.sent, self.sent_bytes = Counter(), Counter()
         self.first_published: dict[
             int, float
         ] = {}  # id of a fact -> publication time, from its first datagram
         self.fact_kinds: dict[int, str] = {}  # id -> kind of fact
         self.fetch_sent_at: dict[int, float] = {}  # nonce of a request -> when it was sent
-        self.too_young_facts: list[tuple] = []  # facts sent with an age below the possible one: a defect
+        self.too_young_facts: list[tuple] = []  # facts sent with a lower age than they can have: a defect
 
     async def open(self) -> None:
         for number in range(self.count):
