--- a/basalthook/lab/relays.py
+++ b/basalthook/lab/relays.py
@@ -69,18 +69,18 @@
     """
 
     def __init__(self, count: int, links: Links, clock, seed: int) -> None:
-        self.count, self.links, self.clock, self.random = count, links, clock, Random(f"spoils of {seed}")
+        self.count, self.links, self.clock, self.rng = count, links, clock, Random(f"spoils of {seed}")
         self.sockets: list[RelaySocket] = []
         self.member_addresses: list[tuple[str, int]] = []
         self.public_addresses: list[tuple[str, int]] = []
-        self.by_port: dict[int, int] = {}
+        self.number_by_port: dict[int, int] = {}  # port of a member's own socket -> number of the member
         self.sent, self.sent_bytes = Counter(), Counter()
         self.first_published: dict[
             int, float
         ] = {}  # id of a fact -> publication time, from its first datagram
         self.fact_kinds: dict[int, str] = {}  # id -> kind of fact
         self.fetch_sent_at: dict[int, float] = {}  # nonce of a request -> when it was sent
-        self.too_young_facts: list[tuple] = []  # facts sent with an age below the possible one: a defect
+        self.too_young_facts: list[tuple] = []  # facts sent with a lower age than they can have: a defect
 
     async def open(self) -> None:
         for number in range(self.count):
@@ -90,14 +90,14 @@
             relay_socket = RelaySocket(self, number)
             self.sockets.append(relay_socket)
             self.public_addresses.append(relay_socket.socket.getsockname())
-        self.by_port = {address[1]: number for number, address in enumerate(self.member_addresses)}
+        self.number_by_port = {address[1]: number for number, address in enumerate(self.member_addresses)}
 
     def close(self) -> None:
         for relay_socket in self.sockets:
             relay_socket.close()
 
     def relay_datagram(self, receiver: int, data: bytes, source, sent_at: float) -> None:
-        sender = self.by_port.get(source[1])
+        sender = self.number_by_port.get(source[1])
         if sender is None:  # not sent by a member
             return
         self.sent[sender] += 1
@@ -105,7 +105,7 @@
         self.inspect(sender, data, sent_at)
         outcome = self.links.datagram_outcome(f"p{sender}", f"p{receiver}")
         if outcome.corrupted:
-            data = flip_random_bit(data, self.random)
+            data = flip_random_bit(data, self.rng)
         for delay in outcome.copies:
             if delay:
                 asyncio.get_running_loop().call_later(delay, self.forward, sender, receiver, data)
--- a/basalthook/lab/trial.py
+++ b/basalthook/lab/trial.py
@@ -12,7 +12,7 @@
 from .load import Clients
 from .result import Result, build_result
 from .scenario import Scenario, ScenarioError, fault_events
-from .standins import Fleet
+from .standins import SocketFleet
 from .start import proxy_settings
 from .wire import Answered, Asked, Got
 
@@ -32,7 +32,7 @@
             self.faults.append(fields)
 
 
-def start_up(scenario: Scenario, fleet: Fleet) -> dict:
+def start_up(scenario: Scenario, fleet: SocketFleet) -> dict:
     """The start-up file of the scenario's one proxy."""
     return {
         "name": scenario.name,
@@ -46,22 +46,22 @@
     }
 
 
-def play(scenario: Scenario, on_progress=None) -> Result:
+def run_scenario(scenario: Scenario, on_progress=None) -> Result:
     """Runs the scenario; raises ScenarioError if it has faults that this depth does not support.
 
     `on_progress(seconds, fleet, clients, wire)`, if given, is called every 0.25 s during the run.
     """
     selector = TimedSelector()
-    return run(_play(scenario, on_progress, selector), selector)
+    return run(_run_scenario(scenario, on_progress, selector), selector)
 
 
-async def _play(scenario: Scenario, on_progress, selector: TimedSelector) -> Result:
+async def _run_scenario(scenario: Scenario, on_progress, selector: TimedSelector) -> Result:
     loop, wire, event_counts = asyncio.get_running_loop(), [], EventCounts()
     if any(isinstance(fault, Vanish | LongWay) for fault in scenario.faults):
         raise ScenarioError(f"{scenario.name}: vanish and long_way need virtual time, see --depth")
     if scenario.fleet or any(isinstance(fault, LinkFault | ProxyFault) for fault in scenario.faults):
         raise ScenarioError(f"{scenario.name}: several proxies need depth `processes` or `decisions`")
-    fleet = Fleet(scenario, wire, loop.time, scenario.seed)
+    fleet = SocketFleet(scenario, wire, loop.time, scenario.seed)
     await fleet.open()
     service = Service(decode(start_up(scenario, fleet), {}), event_counts, selector=selector)
     listener = service.begin()
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -6,15 +6,15 @@
 from basalthook.lab import processes, scenario
 
 
-def run_scenario(name, rig=None, **changes):
+def run_scenario(name, rigs=None, **changes):
     """Run a scenario of the lab on real processes; `changes` maps text in its file to a replacement."""
     text = files("basalthook.lab").joinpath("scenarios", name).read_text("utf-8")
     for old, new in changes.items():
         text = text.replace(old, new)
-    return processes.play(scenario.parse(text, name), rig)
+    return processes.run_scenario(scenario.parse(text, name), rigs)
 
 
-class DiscoveryTrouble(unittest.TestCase):
+class DiscoveryFaults(unittest.TestCase):
     def test_draining_hosts_get_nothing_after_discovery_moved_repeatedly_and_rejected_calls(self):
         result = run_scenario("moved-in-a-row.toml")
         self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,8 +23,8 @@
 from basalthook.membership import wire
 
 BASE_SCENARIO = files("basalthook.lab").joinpath("scenarios/three-silent.toml").read_text("utf-8")
-SILENT = "[[faults]]\nwhat = 'silent'\nat = 2\nlasts = 6\nhosts = [0, 1, 2]\n"
-LOSSY = """[[faults]]
+SILENT_FAULT = "[[faults]]\nwhat = 'silent'\nat = 2\nlasts = 6\nhosts = [0, 1, 2]\n"
+LOSSY_FAULT = """[[faults]]
 what = "lossy"
 at = 0
 lasts = 12
@@ -39,18 +39,22 @@
 
 class DrainingHosts(unittest.TestCase):
     def test_draining_hosts_get_nothing_while_watches_are_reset_or_silent_in_both_discovery_modes(self):
-        # After a broken watch a proxy did not follow a pushed list any more, or called again only after the
-        # change had become binding.
+        # After a broken watch a proxy no longer followed a pushed list, or called again only after the change
+        # already counted as known.
         scenario_text = files("basalthook.lab").joinpath("scenarios/leaving.toml").read_text("utf-8")
         for mode in ("pushed", "on_request"):
-            rig = []
-            result = processes.play(
-                scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rig
+            rigs = []
+            result = processes.run_scenario(
+                scenario.parse(scenario_text.replace("pushed", mode), "leaving.toml"), rigs
             )
             self.assertEqual((result.faults, result.verdict.first_violation), ([], None))
             self.assertGreater(result.verdict.service, 0.95)
-            drained = [e for e in rig[0].wire if isinstance(e, HostStateSent) and e.state == "draining"]
-            self.assertEqual(len({(e.host, e.proxy) for e in drained}), 3 * 6)
+            drained = [
+                entry
+                for entry in rigs[0].wire
+                if isinstance(entry, HostStateSent) and entry.state == "draining"
+            ]
+            self.assertEqual(len({(entry.host, entry.proxy) for entry in drained}), 3 * 6)
 
 
 class LabProcesses(unittest.TestCase):
@@ -71,27 +75,30 @@
             time.sleep(0.05)
         self.assertFalse([pid for pid in proxies if Path("/proc", pid, "exe").exists()])
 
-    def test_processes_of_the_lab_listen_on_addresses_of_their_own(self):
+    def test_each_lab_process_listens_on_its_own_loopback_address(self):
         addresses = {loopback.address_for_process(process) for process in range(1, 2**22, 37)}
         self.assertEqual(len(addresses), len(range(1, 2**22, 37)))
         self.assertTrue(all(ipaddress.ip_address(address).is_loopback for address in list(addresses)[:999]))
 
 
 class ProxyFleets(unittest.TestCase):
-    def play(self, *faults, seconds=13):
-        """Runs 12 proxies with silent hosts and `faults`; checks the rules and that no old fact was used."""
-        head, shares, rig = (
+    def run_fleet(self, *faults, seconds=13):
+        """Runs 12 proxies with three silent hosts and `faults`.
+
+        Checks the rules and that no expired fact was used.
+        """
+        head, shares, rigs = (
             BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")],
             BASE_SCENARIO[BASE_SCENARIO.index("[fleet]") :],
             [],
         )
         head = head.replace("proxies = 60", "proxies = 12").replace("seconds = 50", f"seconds = {seconds}")
-        parsed_scenario = scenario.parse("\n".join((head, SILENT, *faults, shares)), "day.toml")
-        result = processes.play(parsed_scenario, rig)
+        parsed_scenario = scenario.parse("\n".join((head, SILENT_FAULT, *faults, shares)), "day.toml")
+        result = processes.run_scenario(parsed_scenario, rigs)
         self.assertEqual(result.faults, [])
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertEqual((result.fleet_figures["over_age"], result.fleet_figures["younger"]), (0, 0))
-        return rig[0], result
+        return rigs[0], result
 
     def test_no_host_exceeds_its_places_when_voters_are_killed_or_stopped(self):
         head = BASE_SCENARIO[: BASE_SCENARIO.index("[[faults]]")].replace("proxies = 60", "proxies = 12")
@@ -99,47 +106,47 @@
             "[[faults]]\nwhat = 'kill_proxy'\nat = 5\nlasts = 1\nproxies = [0]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 8\nlasts = 3\nproxies = [1, 5]\n",
             "[[faults]]\nwhat = 'cut'\nat = 3\nlasts = 7\nbetween = [['p6-8'], ['p0-5']]\n",
-            LOSSY,
+            LOSSY_FAULT,
             "[fleet]\nshares = ['limits', 'verdicts']\n[[fleet.limits]]\nname = 'places'\n"
             "kind = 'host'\namount = 3\nfloor = 0.34\n",
         )
         parsed_scenario = scenario.parse(
             "\n".join((head.replace("seconds = 50", "seconds = 13"), *faults)), "day.toml"
         )
-        result = processes.play(parsed_scenario)
+        result = processes.run_scenario(parsed_scenario)
         self.assertEqual((result.faults, result.fleet_figures["limits"]["places"]["over_most"]), ([], 0.0))
         self.assertTrue(result.verdict.passed, result.verdict.first_violation)
         self.assertGreater(result.verdict.service, 0.5)
 
     def hosts_out(self, rig):
         return {
-            (fields["id"], n)
-            for _, n, event, fields in rig.log_events
+            (fields["id"], proxy)
+            for _, proxy, event, fields in rig.log_events
             if event == "verdict" and fields["state"] == OUT
         }
 
     def test_silent_hosts_are_out_everywhere_with_lost_doubled_late_and_corrupted_datagrams(self):
-        rig, result = self.play(LOSSY)
+        rig, result = self.run_fleet(LOSSY_FAULT)
         self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
         self.assertGreater(len(self.hosts_out(rig)), 30)
         self.assertGreater(result.verdict.service, 0.95)
         self.assertIsNotNone(result.recovery[0])
 
     def test_members_agree_again_after_a_partition_with_clocks_an_hour_ahead(self):
-        rig, result = self.play(
+        rig, result = self.run_fleet(
             "[[faults]]\nwhat = 'cut'\nat = 1\nlasts = 5\nbetween = [['p0-5'], ['p6-11']]\n",
             "[[faults]]\nwhat = 'clock'\nat = 0\nlasts = 6\nahead = 3600\nrate = 1.02\nproxies = [1, 2, 8]\n",
         )
-        self.assertEqual({host for host, _ in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
-        last = {}
-        for _, n, event, fields in rig.log_events:
-            if event == "member" and _ < rig.begin_at + 13:
-                last[n, fields["name"]] = fields["state"]
-        self.assertEqual({state for state in last.values()}, {"alive"})
+        self.assertEqual({host for host, at in self.hosts_out(rig)}, {"host-0", "host-1", "host-2"})
+        last_states = {}
+        for at, proxy, event, fields in rig.log_events:
+            if event == "member" and at < rig.begin_at + 13:
+                last_states[proxy, fields["name"]] = fields["state"]
+        self.assertEqual({state for state in last_states.values()}, {"alive"})
         self.assertGreater(result.verdict.service, 0.95)
 
-    def test_the_rest_serve_while_some_are_killed_and_some_stopped_for_longer_than_a_fact_lives(self):
-        rig, result = self.play(
+    def test_other_proxies_serve_while_some_are_killed_or_stopped_for_longer_than_a_fact_lifetime(self):
+        rig, result = self.run_fleet(
             "[[faults]]\nwhat = 'kill_proxy'\nat = 2.4\nlasts = 2\nproxies = [0, 1, 2]\n",
             "[[faults]]\nwhat = 'stop_proxy'\nat = 2.6\nlasts = 4\nproxies = [5, 6]\n",
         )
@@ -168,7 +175,7 @@
         self.assertEqual(list(relays.first_published.values()), [published_at])
 
 
-class LateLabProcess(unittest.IsolatedAsyncioTestCase):
+class RelaysReadLate(unittest.IsolatedAsyncioTestCase):
     async def test_a_lab_process_that_reads_late_judges_ages_correctly(self):
         relays = Relays(2, Links(1, 2, 0), asyncio.get_running_loop().time, 1)
         await relays.open()
@@ -269,9 +276,9 @@
         start["settings"]["allowed"]["peers"], start["listen"] = True, "127.0.0.1:0"
         start["console"], running, consoles, ports = "127.0.0.1:0", [], [], []
         for name in ("one", "two"):
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-                free.bind(("127.0.0.1", 0))
-                ports.append(f"127.0.0.1:{free.getsockname()[1]}")
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free_socket:
+                free_socket.bind(("127.0.0.1", 0))
+                ports.append(f"127.0.0.1:{free_socket.getsockname()[1]}")
             (self.folder / "start.json").write_text(json.dumps({**start, "name": name}))
             fleet_path = self.write_fleet_file(listen=ports[-1], seeds=ports[:1])
             running.append(
@@ -296,11 +303,11 @@
             ready = next(line for line in running[-1].stdout if '"ready"' in line)
             consoles.append(":".join(map(str, json.loads(ready)["console"])))
 
-        def states(want):
+        def states(expected):
             for _ in range(100):
                 rows = self.run_program("members", consoles[0], "--json").stdout.splitlines()
                 found = {row["name"]: row["state"] for row in map(json.loads, rows)}
-                if found == want:
+                if found == expected:
                     break
             return found
 
