--- a/basalthook/policy/__init__.py
+++ b/basalthook/policy/__init__.py
@@ -13,6 +13,6 @@
 hosts.py and rules.py hold every rule and every constant; records.py holds fields, measure.py counts and
 hashes (tests/test_policy.py checks this).
 
-Terms: hard limit (deadline), service goal (latency objective), ban (outlier ejection), rest (backoff from a
-crowded host), cold host (in slow start), slowdown (latency divided by the latency with little queueing).
+Terms: hard limit (deadline), service goal (latency objective), ban (outlier ejection), rest (backoff from an
+overloaded host), cold host (in slow start), slowdown (latency divided by the latency with little queueing).
 """
--- a/basalthook/policy/decide.py
+++ b/basalthook/policy/decide.py
@@ -9,11 +9,11 @@
 from .hosts import TRIAL_PART, Hosts
 from .records import HostState, Transaction
 
-# A transaction is queued if its turn comes within 1 / QUEUE_DIVISOR of the time left. Entries of the queue
-# that are tried whenever an attempt ends.
+# QUEUE_DIVISOR: a transaction is queued if its turn comes within this fraction (1 / n) of the time left.
+# QUEUE_LOOK_AHEAD: entries of the queue that are tried whenever an attempt ends.
 QUEUE_DIVISOR, QUEUE_LOOK_AHEAD = 8, 16
-# Live weights: the expected latency, as a share of the time left, from which transactions are rejected on
-# arrival; how fast the rejected share grows beyond that; its maximum.
+# With live weights: the expected latency, as a share of the time left, from which some transactions are
+# rejected on arrival; how fast the rejected share grows beyond that; its maximum.
 SHED_FROM, SHED_SLOPE, MAX_SHED_SHARE = 0.5, 3.0, 0.8
 
 # (state, input) -> (next state, method). A method may return the next input. Other inputs change nothing.
@@ -40,7 +40,7 @@
     def handle(self, now, event, seen_to=None):
         """Process an event at `now` and return its effects, in the order in which to carry them out.
 
-        `seen_to`: all input up to then has been handled; no answer since may be the caller's own delay.
+        `seen_to`: all input received up to then has been handled; a silence since may be the caller's delay.
         """
         self.now, self.seen_to, self.effects = now, now if seen_to is None else seen_to, []
         self.EVENTS[type(event)](self, event)
@@ -81,7 +81,7 @@
         self.serve_queue()
 
     def on_host_list(self, event):
-        """Take over a host list; with live weights, also how loaded the fleet is."""
+        """Apply a host list; with live weights, also update the load of the fleet."""
         listed = {entry.host_id for entry in event.hosts}
         for host in self.hosts.values():
             if host.unlisted or event.complete and host.id not in listed:
@@ -107,7 +107,7 @@
         self.preselected = None
         if self.is_slow(tx) and any(t.attempts and t.groups == tx.groups for t in self.txs.values()):
             tx.reason = "its group is slow at every endpoint"
-            return "reject"  # one at a time probes whether that is over: more would fill the hosts
+            return "reject"  # one at a time shows whether that is over; more would fill the hosts
         if self.settings.live_weights:  # sheds load before all hosts answer too late
             share = (
                 max(self.load, self.slowdown)
@@ -147,7 +147,7 @@
         return ""
 
     def enqueue(self, tx):
-        """First attempts, then the earliest deadline: a short goal is missed behind those that can wait."""
+        """First attempts come first, then the earliest deadline, so that short goals are not missed."""
         insort(self.queue, (bool(tx.tried), tx.queue_until, tx.id))
         self.effects.append(interface.SetTimer(tx.queue_until - self.now, tx.id + 2))
 
@@ -166,7 +166,7 @@
                 self.transition(tx, "capacity")
 
     def finish(self, tx):
-        """Cancel attempts that nobody waits for any more."""
+        """Cancel the attempts that are still open, if that is allowed."""
         if self.settings.can_cancel:
             self.effects += [interface.CancelAttempt(tx.id, attempt) for attempt in tx.attempts]
 
@@ -177,7 +177,7 @@
             or tx.profile.kind == interface.IDEMPOTENT
             or (tx.profile.group == interface.EVERYWHERE and self.may_repeat(tx))
         )
-        # spread over time: clients told the same would all return at once
+        # spread over time: clients with the same time would all return at once
         retry_after = min(self.settings.max_retry_after, int(tx.retry_after * (0.75 + self.rng.random() / 2)))
         self.effects.append(
             interface.RollBack(tx.id, retry_after, tx.reason)
@@ -205,7 +205,7 @@
         return True
 
     def on_verdicts(self, event):
-        """The fleet's verdicts, in addition to what this proxy knows: they only ever keep more hosts away."""
+        """Apply the fleet's verdicts, which only ever exclude more hosts than this proxy does itself."""
         self.trial_host = event.trial
         for host_id, verdict_until, ramp_until in event.hosts:
             if host_id in self.hosts:
--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -9,21 +9,21 @@
 from .measure import Allowance, Latency, RecentPlaces, Rendezvous, SlidingWindow, SlowGroups
 from .rules import Rules
 
-# Length of a ban; first backoff; time-outs in a row for a ban; hosts at which a key fails by its own fault.
+# Ticks: a ban; a first backoff. Time-outs in a row that ban a host; hosts at which a faulty key has failed.
 BAN_TIME, FIRST_BACKOFF, BAN_TIMEOUTS, KEY_HOSTS = 100_000, 500, 3, 2
-CONNECT_BAN, MAX_BACKOFF = 5_000, 25_000  # first ban after a failed connection, then doubled; longest backoff
-QUEUEING, MAX_SHARE = 1.5, 1.25  # limits of our attempts at a host: slowdown by queueing; of its fair share
-HOST_MINIMUM = 4  # attempts of all proxies that a host may always hold: else it idles between two of ours
-BUSY, OVERLOAD, MAX_FLEET_FACTOR = 1.25, 3.0, 1.5  # slowdown: fleet; host; the fleet's part in the latter
-SPARE, FLOOR_DIVISOR = 0.7, 64  # load a core, as listed, of hosts with room; service goal / latency floor
-# Slowdown: crowded home zone; fleet in which a host rests from that on; hosts for spill. Spill hosts a proxy.
+CONNECT_BAN, MAX_BACKOFF = 5_000, 25_000  # ticks: ban after a failed connection (then doubled); max. backoff
+QUEUEING, MAX_SHARE = 1.5, 1.25  # most of our attempts at a host: times its base load; times its fair share
+HOST_MINIMUM = 4  # attempts of all proxies that a host may always have open; with fewer it idles between two
+BUSY, OVERLOAD, MAX_FLEET_FACTOR = 1.25, 3.0, 1.5  # slowdown: busy fleet; overloaded host; factor on it
+SPARE, FLOOR_DIVISOR = 0.7, 64  # transactions per core of hosts with room; service goal / latency floor
+# Slowdown: most in the home zone; of a fleet that applies it to hosts; most for spill. Proxies a spill host.
 HOME_MAX, FLEET_MIN, SPILL_MAX, SPILL_HOSTS = 2.0, 1.5, 1.5, 3
 BUSY_REACH = 2  # while busy, a key waits for one of its first so many hosts before it goes elsewhere
-# Excess share of slow answers of a slow group; answers to compare a group by; error rate that bans a host.
+# Excess of slow answers that makes a group slow; answers to compare a group by; error rate that bans a host.
 SLOW_SHARE, MIN_ANSWERS, MAX_ERROR_RATE = 0.5, 3, 0.3
-HOST_WEIGHT, FLEET_WEIGHT = 0.4, 3  # of an answer: / attempts, * time since a commit, per overload_time
-ESTIMATE_INTERVAL, COLD_STEPS = 10_000, 16  # between updates of slow estimates; re-rankings in a slow start
-UNLISTED_SILENCE, TABLE_SIZE = 600_000, 2_000  # without an answer, then an unlisted host goes; entries
+HOST_WEIGHT, FLEET_WEIGHT = 0.4, 3  # EWMA weights: host / recent attempts; fleet * commit gap / overload_time
+ESTIMATE_INTERVAL, COLD_STEPS = 10_000, 16  # ticks between updates of estimates; re-rankings in a slow start
+UNLISTED_SILENCE, TABLE_SIZE = 600_000, 2_000  # ticks without an answer that end an unlisted host; entries
 TRIAL_PART = 3  # the fleet's trial of a host takes at most 1 / TRIAL_PART of the time left
 
 # outcome -> method that applies it to the host (or None), and whether the transaction may have run
@@ -75,7 +75,7 @@
             return None
         best, banned, unbanned, reach, now = [], [], False, len(self.preferred), self.now
         if tx.key is not None and self.settings.warm_keys and self.busy() and now < tx.queue_until:
-            reach = BUSY_REACH  # keys spread over hosts that do not hold them cost more work in a crowd
+            reach = BUSY_REACH  # under overload, keys sent to hosts without their data cost more work
         for host in self.ranked_hosts(tx.key):
             ban = self.excluded(host, "ban")
             if host.id in tx.tried or not self.admits(tx, host):
@@ -113,12 +113,12 @@
         return self.seen_to - max(host.last_answer, sent_at) >= late_after
 
     def withheld_by_verdict(self, host):
-        """The fleet's verdict: nothing goes there until it ends, then a share that grows linearly to all."""
+        """Whether the fleet's verdict keeps an attempt away: always until it ends, then less often."""
         ramp = max(1, host.ramp_until - host.verdict_until)
         return self.now < host.verdict_until or self.rng.random() > (self.now - host.verdict_until) / ramp
 
     def trial_for(self, tx):
-        """The host that the fleet wants tried, if `tx` could still go on elsewhere in time after that."""
+        """The host that the fleet wants tried, if `tx` has time to continue elsewhere after a failure."""
         host = self.hosts.get(self.trial_host)
         if host is None or tx.profile.kind != interface.IDEMPOTENT or tx.tried or not self.may_attempt(tx):
             return None
@@ -126,23 +126,23 @@
         return host if free and TRIAL_PART * (tx.goal_at - self.now) > 2 * tx.profile.service_goal else None
 
     def is_slow(self, tx):
-        """Its profile or its tenant is slow at all hosts while others are not: no fault of the hosts."""
+        """Whether its profile or tenant is slow at all hosts and others are not: no fault of hosts."""
         return self.slow_groups.excess(tx.groups, self.now) > SLOW_SHARE
 
     def concurrency_limit(self, host):
         """Little's law: our attempts at a host whose latency is QUEUEING times the unloaded one."""
         share = host.capacity * self.warm_share(host) / self.capacity * MAX_SHARE * (len(self.attempts) + 1)
         if self.settings.live_weights and host.capacity < (1 + SPARE) * host.entry.weight:
-            return share + 2 * share**0.5 + 1  # little load by its live weight: room for a usual swing
+            return share + 2 * share**0.5 + 1  # little load by its live weight: room for usual fluctuation
         return max(self.min_held, min(QUEUEING * self.base_load(host.sent), share) if self.busy() else share)
 
     def has_capacity(self, host):
-        """Overdue attempts don't count: a host that leaves some unanswered would have no place for others."""
+        """Overdue attempts don't count: a host that leaves some unanswered would get no others."""
         held = len(host.attempts)
         return held < self.min_held or held - self.overdue(host.attempts) < self.concurrency_limit(host)
 
     def overdue(self, attempts):
-        """Attempts that are late with no answer since, or passed over by later ones: no sign of a crowd."""
+        """Counts late attempts with no answer since, or with later ones answered: these show no overload."""
         return sum(
             self.seen_to - sent_at >= late_after
             and (host.last_answer <= sent_at or sent_at < host.answered_send)
@@ -150,15 +150,15 @@
         )
 
     def busy(self):
-        """Answers are slow, or first attempts wait: as answers speed up the queue must not go out at once."""
+        """Whether answers are slow, or first attempts are queued: all would go out once answers speed up."""
         return self.slowdown > BUSY and self.load > SPARE or bool(self.queue) and not self.queue[0][0]
 
     def at_limit(self):
-        """Too many attempts: many proxies with one each overload hosts. Overdue and slow ones don't count."""
+        """Whether too many attempts are open: even one each from many proxies overloads hosts."""
         if self.settings.live_weights or not (self.home_zone or self.busy()):
             return False
         usual, held = self.base_load(self.sent), len(self.attempts)
-        if self.home_zone:  # an attempt of each proxy at each host fills the zone before an answer tells
+        if self.home_zone:  # one attempt of each proxy at each host fills the zone before any answer shows it
             limit = max(1.0, HOST_MINIMUM * len(self.ready) / self.settings.proxies, QUEUEING * usual)
             return held >= limit and sum(not self.is_slow(self.txs[n]) for n, _ in self.attempts) >= limit
         spare = max(0.0, min(1.0, (OVERLOAD - self.slowdown) / (OVERLOAD - BUSY)))
@@ -166,7 +166,7 @@
         return held - spare * self.overdue(self.attempts) >= most
 
     def base_load(self, sent):
-        """Attempts open at this rate in quiet times, with answers that lie here unread."""
+        """Attempts open at the present send rate with little queueing, including answers not read yet."""
         span = min(self.settings.overload_time, max(self.now - self.started, self.base_latency))
         return sent.count(self.now) / span * (self.base_latency + self.unread_delay)
 
@@ -193,12 +193,12 @@
         self.preferred = near + self.spill(all(self.excluded(h, "ban") for h in near)) if near else self.ready
         self.capacity = sum(h.capacity * self.warm_share(h) for h in self.ready)
         # under load by live weights, a key's warm hosts in all zones are worth more than staying in the zone
-        lean = 0 if self.settings.live_weights and self.load > SPARE else 100 * self.settings.cross_zone_price
+        bias = 0 if self.settings.live_weights and self.load > SPARE else 100 * self.settings.cross_zone_price
         self.rendezvous = Rendezvous(
             self.preferred,
             [h.entry.hash for h in self.preferred],
             [
-                h.capacity * self.warm_share(h) * (1.0 + lean * (h.entry.zone == self.settings.zone))
+                h.capacity * self.warm_share(h) * (1.0 + bias * (h.entry.zone == self.settings.zone))
                 for h in self.preferred
             ],
         )
@@ -208,7 +208,7 @@
         )
 
     def spill(self, needed):
-        """A few fast hosts of other zones: each proxy uses others, so as not to crowd the same ones."""
+        """The fast hosts of other zones to use; each proxy uses different ones, to spread the load."""
         far = [
             h
             for h in self.ready
@@ -220,16 +220,16 @@
         return order[: max(self.spill_count, needed)]
 
     def update_estimates(self):
-        """What changes slowly: the commit rate of warm hosts, and how many hosts of other zones to use."""
+        """Update the commit rate of warm hosts, and the number of hosts of other zones to use."""
         if self.now < self.next_estimate_at:
             return
         self.next_estimate_at = self.now + ESTIMATE_INTERVAL
         known = [h for h in self.ready if not self.excluded(h, "ban")]
         if warm := [h for h in known if h.cold_since is None]:  # hosts that are gone or banned commit less
             rate = sum(h.committed.count(self.now) for h in warm) / sum(h.capacity for h in warm)
-            if rate > self.commit_rate or not self.busy():  # in a crowd hosts commit less than they could
+            if rate > self.commit_rate or not self.busy():  # overloaded hosts commit less than they could
                 self.commit_rate += (rate - self.commit_rate) * 0.3
-        if self.home_zone:  # profiles without placement leave a crowded home zone if there are enough hosts
+        if self.home_zone:  # profiles without placement leave a slow home zone if there are enough hosts
             near = [h.slowdown for h in known if h.entry.zone == self.home_zone] or [1.0]
             mean, most = sum(near) / len(near), SPILL_HOSTS * len(self.ready) // self.settings.proxies
             self.spill_count = max(0, min(most, self.spill_count + (mean > HOME_MAX) - (mean < BUSY)))
@@ -240,7 +240,7 @@
         self.effects.append(interface.SetTimer(wait, 1))
 
     def update_entry(self, host, entry):
-        """A live weight is at most the capacity; that at most doubles, as a weight may be wrong tenfold."""
+        """Apply a list entry. A live weight at most doubles the capacity, as it may be wrong tenfold."""
         if entry.started_at is not None and entry.started_at != host.entry.started_at:
             host.renew(entry)
         host.entry, host.unlisted = entry, False
@@ -251,7 +251,7 @@
         )
 
     def mark_unlisted(self, host):
-        """Not on the list: gone, unless unlisted hosts are usable; then it goes with its next fault."""
+        """A host off the list is gone, or, if unlisted hosts are usable, goes at its next fault."""
         if self.settings.use_unlisted and host.entry.ready and self.now < host.last_answer + UNLISTED_SILENCE:
             host.trusted, host.unlisted = host.trusted and host.unlisted, True
         else:
@@ -270,7 +270,7 @@
         if ran and not tx.first_run:
             tx.first_run = sent_at, host.entry
         at_fault = event.outcome == interface.TIMED_OUT and self.is_slow(tx)
-        if tx.key is not None and event.outcome in KEYED_FAILURES:  # at several hosts: the key's fault
+        if tx.key is not None and event.outcome in KEYED_FAILURES:  # at KEY_HOSTS hosts: the key's fault
             at_fault |= len(self.key_failures.add(tx.key, host.id, self.now)) >= KEY_HOSTS
         if effect and not at_fault:
             getattr(self, effect)(host, tx, event)
@@ -303,11 +303,11 @@
     def weigh(self, host, tx, event, sample=None):
         """Update the host's slowdown, and back it off while that is too high."""
         if event.outcome != interface.COMMITTED and self.now - event.elapsed < host.answered_send:
-            return  # one attempt went unanswered and later ones did not: no sign of a crowd
+            return  # later attempts were answered: no sign of overload
         sample = sample or max(host.slowdown, self.slowness(host, tx, event))
-        often = max(1, host.sent.count(self.now))  # many proxies each meet a jam seldom: each answer counts
+        often = max(1, host.sent.count(self.now))  # with few attempts to a host, each answer counts more
         host.slowdown += (sample - host.slowdown) * (0.5 if host.throttles else max(0.1, HOST_WEIGHT / often))
-        # a crowded host gets slower until it is left alone; not each host, where the whole fleet is slow
+        # an overloaded host slows down further until it is avoided; but not all of a slow fleet are avoided
         factor = min(MAX_FLEET_FACTOR, max(1.0, self.slowdown)) if self.settings.live_weights else 1.0
         if host.slowdown > (HOME_MAX if self.home_zone and self.slowdown > FLEET_MIN else OVERLOAD * factor):
             self.back_off(host, tx, event, max(FIRST_BACKOFF, self.settings.overload_time // often), BAN_TIME)
@@ -315,7 +315,7 @@
             host.throttles = 0
 
     def timed_out(self, host, tx, event):
-        """A run of a profile's time-outs bans the host; if it answers others, excludes it for that one."""
+        """Time-outs in a row of a profile ban the host; if it answers others, exclude it for this one."""
         self.weigh(host, tx, event)
         if (sent_at := self.now - event.elapsed) < host.answered_by.get(tx.profile_id, 0):
             return
@@ -324,14 +324,14 @@
         if run + 1 >= BAN_TIMEOUTS and host.last_answer <= since:
             self.ban(host, tx, event)
         elif run + 1 >= BAN_TIMEOUTS:
-            self.exclude(host, tx.profile_id, BAN_TIME)  # its next time-out does it again
+            self.exclude(host, tx.profile_id, BAN_TIME)  # its next time-out excludes it again
 
     def erred(self, host, tx, event):
-        """Quick errors look like an idle host and attract attempts; those of several keys are its fault."""
+        """Quick errors make a host look idle and attract attempts: errors of several keys ban it."""
         self.effects += [interface.ReportHostFault(host.id)] * self.settings.peer_reports
         if tx.key is None or tx.key != host.last_error_key:
             host.error_rate, host.last_error_key = host.error_rate * 0.9 + 0.1, tx.key
-        host.trusted = host.trusted and event.outcome == interface.ERROR  # reset: a repeatable one tries it
+        host.trusted = host.trusted and event.outcome == interface.ERROR  # a reset: repeatable ones probe it
         median = sorted(h.error_rate for h in self.hosts.values())[(len(self.hosts) - 1) // 2]
         if host.error_rate > MAX_ERROR_RATE + 2 * median:  # more than most hosts share
             self.ban(host, tx, event)
--- a/basalthook/policy/interface.py
+++ b/basalthook/policy/interface.py
@@ -23,7 +23,7 @@
 REQUEST_OVER, OUT_OF_TIME, REPEAT_NOT_ALLOWED = "request over", "out of time", "repeat not allowed"
 ENDPOINT_LEAVING, PLACEMENT, CLIENT_GONE = "endpoint leaving", "placement", "client gone"
 
-# Peer reports on a host: one proxy met a fault (sent to the proxy that counts); many did (sent to all).
+# Peer reports on a host: one proxy met a fault (sent to the host's aggregator); many did (sent to all).
 FAULT_SEEN, FAULT_CONFIRMED = "met fault", "at fault"
 
 
@@ -56,10 +56,10 @@
     max_attempts: int
     can_cancel: bool  # open attempts may be cancelled
     max_retry_after: int  # longest retry-after time that clients are given; 0: none
-    live_weights: bool = False  # listed weights are capacity / (1 + transactions held a core), and late
+    live_weights: bool = False  # listed weights are capacity / (1 + transactions held per core), with a lag
     peer_reports: bool = False  # proxies may send one another reports, which may be lost
     use_unlisted: bool = False  # hosts not on the list may be sent to, unless they were seen draining
-    drain_grace: int = 0  # from news that a host drains until nothing may be sent there
+    drain_grace: int = 0  # after the list shows a host draining, until nothing may be sent there
 
 
 class HostEntry(NamedTuple):
@@ -97,8 +97,8 @@
     tx: int
     profile: int  # index in PolicySettings.profiles
     key: int | None
-    time_left: int  # until its hard limit
-    unread_for: int = 0  # time since its last byte came in, if this process was late to read it
+    time_left: int  # ticks until its hard limit
+    unread_for: int = 0  # ticks since its last byte arrived, if this process was late to read it
     tenant: int | None = None  # None: unknown
 
 
@@ -111,11 +111,11 @@
     outcome: str
     elapsed: int  # ticks since it was sent
     final: bool  # the transaction has its final answer
-    unread_for: int = 0  # ticks that its answer lay here unread; not part of `elapsed`
+    unread_for: int = 0  # ticks for which its answer was received but not read; not part of `elapsed`
 
 
 class StreamStarted(NamedTuple):
-    """The answer of this attempt is being passed on to the client: no other one can follow."""
+    """The answer of this attempt is being passed on to the client: no further attempt can follow."""
 
     tx: int
     attempt: int
@@ -142,25 +142,25 @@
 class HostVerdicts(NamedTuple):
     """The fleet's verdicts on hosts, in addition to what this proxy knows itself."""
 
-    hosts: tuple  # (host, shut out until, then a growing share of attempts until)
+    hosts: tuple  # (host, no attempts until, then a growing share of them until)
     trial: int | None = None  # one of these hosts, which this proxy is to try once; None: none
 
 
 class LimitsUpdated(NamedTuple):
-    """What the fleet's limits leave this proxy from now on; keys that are not named keep what they have."""
+    """What the fleet's limits allow this proxy from now on; keys that are not named keep their rows."""
 
-    rows: tuple  # (key, number without end, number on top of it, end of that); for keys see below
+    rows: tuple  # (key, count that does not expire, additional count, its expiry); for keys see below
     aliases: tuple = ()  # (key, key whose row it shares)
-    retry_after: int = 0  # for transactions refused by a limit; 0: the limit may soon leave more
+    retry_after: int = 0  # ticks, for transactions refused by a limit; 0: it may soon allow more
 
 
 # Keys of limits: (PER_HOST, host), (FIRST_ATTEMPT, profile), (FURTHER_ATTEMPT, None). None in place of a
-# number stands for all that are not named.
+# host or profile stands for all that are not named.
 PER_HOST, FIRST_ATTEMPT, FURTHER_ATTEMPT = "at host", "first", "further"
 
 
 class PeerReportReceived(NamedTuple):
-    """For the component that counts reports (`fleet.counting`), which wraps the decisions."""
+    """For the component that aggregates peer reports (`fleet.aggregation`), which wraps the decisions."""
 
     sender: int  # position of the proxy that claims this; not verified
     host: int
@@ -211,7 +211,7 @@
 
 
 class SendPeerReport(NamedTuple):
-    """An effect of the component that counts reports."""
+    """An effect of the component that aggregates peer reports."""
 
     peer: int | None  # position of the recipient; None: all
     host: int
--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -148,10 +148,10 @@
 
 
 class Allowance:
-    """What limits leave by key: a number without end, and one on top of it until some time; no row, no limit.
+    """What the fleet's limits allow, by key: a count that does not expire, and an additional one that does.
 
-    None as a key's number stands for all that are not named; `aliases` maps keys to the key whose row they
-    share.
+    A key without a row has no limit. A key with None for its host or profile stands for all that are not
+    named; `aliases` maps keys to the key whose row they share.
     """
 
     def __init__(self) -> None:
--- a/basalthook/policy/records.py
+++ b/basalthook/policy/records.py
@@ -14,9 +14,9 @@
         self.answered_send, self.answered_by = 0, {}
         self.attempts = {}  # open ones: (tx, attempt) -> host, sent at, late after; removed as they end
         self.capacity = 0.0  # relative to other hosts
-        # by the fleet's verdict: shut out until the first, then a growing share of attempts until the second
+        # by the fleet's verdict: no attempts until the first, then a growing share of them until the second
         self.verdict_until = self.ramp_until = 0
-        self.admission_draw, self.next_draw_at = 0.0, 0  # while cold: a random number, once an overload_time
+        self.admission_draw, self.next_draw_at = 0.0, 0  # while cold: random, renewed each overload_time
         self.renew(entry)
 
     def renew(self, entry):
