--- a/basalthook/config/fleet.py
+++ b/basalthook/config/fleet.py
@@ -25,7 +25,7 @@
 
 
 class FactLifetimes(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Seconds after which facts of each kind are no longer acted on."""
+    """Lifetimes of facts by kind, in seconds; older facts are ignored."""
 
     host: LifetimeSeconds = 3.0  # evidence on a host
     trial: LifetimeSeconds = 10.0  # the outcome of a trial of a host
@@ -48,7 +48,7 @@
 
     listen: Address  # host:port for datagrams of other members
     seeds: list[Address]  # addresses of some members; may include this one
-    key_file: Annotated[str, msgspec.Meta(min_length=1)]  # the fleet's key; for its owner only
+    key_file: Annotated[str, msgspec.Meta(min_length=1)]  # holds the fleet's key; only its owner may read it
     shares: Annotated[
         list[Annotated[str, msgspec.Meta(pattern="^(verdicts|limits)$")]], msgspec.Meta(min_length=1)
     ]
--- a/basalthook/fleet/allocator.py
+++ b/basalthook/fleet/allocator.py
@@ -1,6 +1,6 @@
-"""Lending parts of each limit, places at hosts and tokens, by the elected leader. No I/O.
+"""Leases on parts of each limit (places at hosts, tokens), granted by the elected leader. No I/O.
 
-A holder's request states all that it holds: it has given up whatever it does not name. Each request has a
+A holder's request lists everything that it holds: it has given up whatever is not listed. Each request has a
 sequence number and only the newest is answered; a later version of the same answer may add to it. For each
 holder the leader counts the larger of what the holder said it holds and what it was last granted, until the
 holder's next request, or until the lease and every attempt under it are over.
@@ -53,7 +53,7 @@
         )
         self.holders: dict[tuple, HolderState] = {}  # by (name, life); entries expire
         self.used: dict[Unit, int] = {}
-        self.waiting: dict[Unit, OrderedDict] = {}  # holders short of what they want, in order
+        self.waiting: dict[Unit, OrderedDict] = {}  # holders granted less than they want, in order of arrival
         self.buckets: dict[int, tuple[float, int]] = {}  # limit -> (tokens, updated at)
         self.capacity_known_from = 0
         self.no_leases_out = False  # set by a caller that knows that no leases exist yet
@@ -189,8 +189,8 @@
 
     def grant_of(self, now: int, holder: tuple) -> tuple:
         state = self.holders[holder]
-        short = [unit for unit in state.granted if unit in self.waiting]
-        return holder, state.sequence, state.version, dict(state.granted), short
+        contended = [unit for unit in state.granted if unit in self.waiting]
+        return holder, state.sequence, state.version, dict(state.granted), contended
 
     # ---- capacity that comes free
 
--- a/basalthook/fleet/bounds.py
+++ b/basalthook/fleet/bounds.py
@@ -6,8 +6,8 @@
     A place that is not given back is free again after LEASE_TICKS plus the longest hard limit, since an
     attempt may still be running under it.
     When the leader dies, holders keep what they hold, as LEASE_TICKS is longer than two terms.
-    Floors are parts of a limit that each proxy has without any message, divided by the configured number of
-    proxies. The leader does not lend them where the limit is `never` exceeded.
+    The floor is the part of a limit that is divided among the configured number of proxies in advance, so
+    that each uses its own without a lease. The leader does not lend it where the limit is `never` exceeded.
 
 The elected leader that lends parts of limits is the `keeper` of the fleet file, the log and the console.
 """
@@ -40,7 +40,7 @@
     burst: float = 0.0  # tokens at once; unused for places
     profiles: tuple[int, ...] = ()  # indices, for `rate` only; empty means all
     over: str = NEVER
-    floor: float = 0.0  # share of the amount that proxies have without any message
+    floor: float = 0.0  # share of the amount that proxies have without a lease
 
     @property
     def id(self) -> int:
--- a/basalthook/fleet/evidence.py
+++ b/basalthook/fleet/evidence.py
@@ -110,9 +110,9 @@
     def faulty_hosts(self, received_until: int, proxy) -> set[int]:
         """Returns the hosts with a fault or a late attempt at this proxy."""
         late = {
-            server.id
-            for server, sent_at, late_after in proxy.attempts.values()
-            if received_until - sent_at >= late_after and server.last_answer <= sent_at
+            host_state.id
+            for host_state, sent_at, late_after in proxy.attempts.values()
+            if received_until - sent_at >= late_after and host_state.last_answer <= sent_at
         }
         return late | self.hosts_with_faults
 
@@ -122,7 +122,7 @@
         `received_until`: everything received up to then has been handled. A silence since then may be a pause
         of this process itself.
         """
-        server, outcomes = proxy.hosts[host], self.outcomes.get(host)
+        host_state, outcomes = proxy.hosts[host], self.outcomes.get(host)
         while outcomes and outcomes[0][0] <= now - OUTCOME_WINDOW:
             outcomes.popleft()
         if not outcomes:
@@ -134,7 +134,7 @@
             self.hosts_with_faults.discard(host)
         late = [
             sent_at
-            for _, sent_at, late_after in server.attempts.values()
+            for _, sent_at, late_after in host_state.attempts.values()
             if received_until - sent_at >= late_after and sent_at >= self.ignore_before.get(host, 0)
         ]
         return HostReport(
@@ -145,7 +145,7 @@
             counts[LOST],
             counts[ERRED],
             counts[ANSWERED],
-            server.last_answer,
+            host_state.last_answer,
             now,
         )
 
--- a/basalthook/fleet/facts.py
+++ b/basalthook/fleet/facts.py
@@ -22,7 +22,7 @@
 
 class Fact(NamedTuple):
     author: str
-    life: int  # of the author's process; facts of an earlier life are void
+    life: int  # number of the author's process, greater after a restart; facts of earlier ones are void
     kind: str
     subject: str
     sequence: int  # counts all facts of the author
@@ -93,7 +93,7 @@
         return fact
 
     def adopt_life(self, life: int) -> None:
-        """Continues as a later life, as the membership requires, and publishes the own facts again."""
+        """Takes a later life, as the membership requires, and publishes this process's facts again."""
         published = [
             entry for entry in self.by_author.get(self.me, {}).values() if entry.fact.life == self.life
         ]
--- a/basalthook/fleet/gossip.py
+++ b/basalthook/fleet/gossip.py
@@ -1,6 +1,6 @@
 """Dissemination of facts among members by gossip: rumours, repaired by digests. No I/O.
 
-A member accepts only facts that it asked for. A rumour is a list of fact ids. Whoever lacks some of them
+A member accepts only facts that it has requested. A rumour is a list of fact ids. Whoever lacks some of them
 requests them under a nonce of its own, and adds the time from its request to the answer, on its own clock, to
 the age of each fact. So a datagram that was delayed or replayed can't make a fact look younger than it is.
 
@@ -35,7 +35,7 @@
 class Gossip:
     """Gossip, facts and membership of one process.
 
-    `send_datagram(address, data)` sends; `say(event, **fields)` writes to the log.
+    `send_datagram(address, data)` sends; `log_event(event, **fields)` writes to the log.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         return self.member.live()
 
     def member_changed(self, change: MemberChange) -> None:
-        # facts of a process that is gone must not live on where no fact of its successor has arrived yet
+        # facts of an ended process must not stay valid where no fact of its successor has arrived yet
         self.table.void_earlier_lives(change.update.name, change.update.life)
         if change.before is not None or change.update.state:
             self.log_event("member", name=change.update.name, state=STATES[change.update.state], by=change.by)
@@ -191,7 +191,7 @@
             self.send_metered(source, [FETCH, self.name, self.open_request(now), missing])
 
     def on_fetch(self, now: int, message: list, source) -> None:
-        """Sends the facts that were asked for by id."""
+        """Sends the facts that were requested by id."""
         self.send_facts(source, message[2], self.table.facts_for(now, valid_ids(message[3], MAX_IDS)))
 
     def on_fetch_differing(self, now: int, message: list, source) -> None:
--- a/basalthook/fleet/lease_holder.py
+++ b/basalthook/fleet/lease_holder.py
@@ -1,8 +1,9 @@
 """The leases that one process holds of the fleet's limits. No I/O.
 
-It gives places up before it says so, and accepts an answer to its newest request only. A lease counts from
-the moment of the request, on the holder's clock, for less time than the leader counts. So whatever the links
-do to the datagrams, all holders together never use more than the leader has counted for them.
+A holder stops using places before it sends the request that releases them, and accepts an answer to its
+newest request only. A lease counts from the moment of the request, on the holder's clock, for less time than
+the leader counts. So whatever the links do to the datagrams, all holders together never use more than the
+leader has counted for them.
 """
 
 from .allocator import Unit, UnitRequest
@@ -22,7 +23,7 @@
         self.sequence = self.answered_sequence = self.version = 0
         self.requested_at = now
         self.awaiting_answer = False  # the last request is unanswered
-        # moving average in ticks from the first try of a request to its answer
+        # moving average of the ticks from the first sending of a request to its answer
         self.answer_delay, self.first_requested_at = 0.0, now
         self.unanswered = 0  # requests in a row without an answer
         self.held_places: dict[Unit, int] = {}  # usable before `places_until`
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -37,16 +37,16 @@
     NOT_LEADER: 4,
 }
 MAX_UNITS = 48  # in one request, as fits a datagram; beyond that, units unused for longest are given up
-IDLE_HOLD = 1_500  # ticks for which an unused place is kept while no other holder waits for it
+IDLE_HOLD = 1_500  # ticks for which an unused place is held while no other holder waits for it
 MIN_REQUEST_INTERVAL = 20  # ticks
-# Ticks of demand for which tokens are requested ahead, and the most where answers are slow.
+# Ticks of demand for which tokens are requested ahead: the least, and the most, where answers are slow.
 PREFETCH, MAX_PREFETCH = 2_500, TOKEN_LIFETIME * 3 // 4
 MAX_UNANSWERED = 4  # requests lost in a row after which another voter is asked
 WAITING_EXAMINED = 8  # waiting transactions for which places are requested
-SCARCITY_WINDOW = 5_000  # ticks after a request for which its answer shows that nothing is free
-# Refused clients are told to retry after a random time between a third of this and all of it.
+SCARCITY_WINDOW = 5_000  # ticks after a request during which its answer counts as proof that nothing is free
+# Ticks; refused clients get a random retry-after time between a third of this and all of it.
 RETRY_SPREAD = 3 * TICKS_PER_SECOND // 2
-FOREVER = 2**60
+FOREVER = 2**60  # ticks
 
 
 class FleetLimits:
@@ -111,7 +111,7 @@
         )
         self.refused = Counter()  # limit -> transactions rolled back while it was contended
         self.started = self.left = False
-        # nothing is allowed until it is lent, also for attempts before the first tick
+        # only what is lent is allowed, also for attempts before the first tick
         self.publish_allowance(now)
 
     # ---- events and effects of the decision core
@@ -127,8 +127,10 @@
                 self.demand[unit] += 1 / TICKS_PER_SECOND
         effects = self.inner.handle(now, event, received_until)
         if self.holder.contended and any(isinstance(effect, interface.RollBack) for effect in effects):
-            short = {unit[0] for unit in self.holder.contended}
-            self.refused.update(dict.fromkeys(short, sum(isinstance(e, interface.RollBack) for e in effects)))
+            contended_limits = {unit[0] for unit in self.holder.contended}
+            self.refused.update(
+                dict.fromkeys(contended_limits, sum(isinstance(e, interface.RollBack) for e in effects))
+            )
         if self.proxy.queue or self.holder.contended and isinstance(event, interface.AttemptEnded):
             self.request_lease(now)
         return effects
@@ -169,7 +171,7 @@
     def refresh_hosts(self) -> None:
         if self.listed_hosts is not self.proxy.ready and self.host_limit is not None:
             limit, self.listed_hosts = self.limits[self.host_limit], self.proxy.ready
-            self.hash_by_host = {server.id: host_hash(server) for server in self.listed_hosts}
+            self.hash_by_host = {host_state.id: host_hash(host_state) for host_state in self.listed_hosts}
             self.host_by_hash = {hash_of_host: host for host, hash_of_host in self.hash_by_host.items()}
             self.own_places = {
                 host: self.own_places[host]
@@ -185,7 +187,7 @@
         return self.host_limit, self.hash_by_host[host]
 
     def own_places_now(self, now: int, host: int) -> int:
-        """Returns this proxy's floor places at a host, which need no message."""
+        """Returns the places at a host that are this proxy's own by the floor, without a lease."""
         return self.own_places.get(host, 0) if now >= self.own_places_from and not self.left else 0
 
     # ---- requests
@@ -193,11 +195,11 @@
     def places_in_use(self, now: int) -> dict[Unit, int]:
         """Returns the lent places under a running attempt, by unit."""
         # includes hosts that left the list meanwhile: their places are still in use
-        servers = {server.id: server for server, _, _ in self.proxy.attempts.values()}
+        host_states = {host_state.id: host_state for host_state, _, _ in self.proxy.attempts.values()}
         return {
-            (self.host_limit, host_hash(server)): len(server.attempts) - own
-            for server in servers.values()
-            if len(server.attempts) > (own := self.own_places_now(now, server.id))
+            (self.host_limit, host_hash(host_state)): len(host_state.attempts) - own
+            for host_state in host_states.values()
+            if len(host_state.attempts) > (own := self.own_places_now(now, host_state.id))
         }
 
     def wanted_leases(self, now: int, used: dict[Unit, int]) -> tuple[dict[Unit, int], dict[Unit, int]]:
@@ -250,14 +252,14 @@
     def hosts_lacking_place(self, tx) -> list[int]:
         """Returns the first two hosts for a transaction's key that lack nothing but a place."""
         hosts, proxy = [], self.proxy
-        for server in proxy.ranked_hosts(tx.key):
+        for host_state in proxy.ranked_hosts(tx.key):
             if (
-                server.id in self.hash_by_host
-                and server.id not in tx.tried
-                and proxy.is_eligible(tx, server.entry)
-                and (not proxy.excluded(server, "ban", "rest") and proxy.now >= server.verdict_until)
+                host_state.id in self.hash_by_host
+                and host_state.id not in tx.tried
+                and proxy.is_eligible(tx, host_state.entry)
+                and (not proxy.excluded(host_state, "ban", "rest") and proxy.now >= host_state.verdict_until)
             ):
-                hosts.append(server.id)
+                hosts.append(host_state.id)
                 if len(hosts) == 2:
                     break
         return hosts
@@ -289,7 +291,7 @@
         )
 
     def view(self, now: int) -> list[dict]:
-        """Returns rows for operators: each limit, this proxy's part, its age, and what was refused."""
+        """Returns rows for operators: each limit, what this proxy may use of it, its age, and refusals."""
         self.refresh_hosts()
         rows = []
         for n, limit in self.limits.items():
@@ -365,11 +367,11 @@
     def publish_allowance(self, now: int) -> None:
         """Passes changes of the allowance to the decision core."""
         self.refresh_hosts()
-        rows, same, short = [], (), False
+        rows, aliases, any_exhausted = [], (), False
         if not self.started:
             self.started = True
             rows += [((interface.PER_HOST, None), 0, 0, FOREVER)] if self.host_limit is not None else []
-            same = tuple(
+            aliases = tuple(
                 ((interface.FIRST_ATTEMPT, profile), (interface.FIRST_ATTEMPT, n))
                 for n, limit in self.rate_limits
                 for profile in limit.profiles
@@ -396,14 +398,14 @@
             count, until = self.holder.usable_tokens(now, unit)
             row = int(self.floor_tokens[unit]), count, until
             scarce = unit in self.holder.contended and now - self.holder.requested_at < SCARCITY_WINDOW
-            short |= scarce and not any(row[:2])
+            any_exhausted |= scarce and not any(row[:2])
             if self.published_tokens.get(key) != row or self.used_counted[unit]:
                 self.published_tokens[key], self.used_counted[unit] = row, 0
                 rows.append((key, *row))
-        retry_after = int(RETRY_SPREAD * (1 + 2 * self.rng.random()) / 3) if short else 0
-        if rows or same or bool(retry_after) != bool(self.proxy.allowance.retry_after):
-            # applied at once, not queued: what is given up must not be used once the leader is told
-            self.proxy.allowance.update(interface.LimitsUpdated(tuple(rows), same, retry_after))
+        retry_after = int(RETRY_SPREAD * (1 + 2 * self.rng.random()) / 3) if any_exhausted else 0
+        if rows or aliases or bool(retry_after) != bool(self.proxy.allowance.retry_after):
+            # applied at once, not queued: what is given up must not be used once the leader has been informed
+            self.proxy.allowance.update(interface.LimitsUpdated(tuple(rows), aliases, retry_after))
             self.post_event(interface.LimitsUpdated((), (), retry_after))
 
     # ---- messages
@@ -425,7 +427,7 @@
             self.send_to(name, message)
 
     def send_grants(self, grants: list[tuple]) -> None:
-        for (name, life), sequence, version, granted, short in grants:
+        for (name, life), sequence, version, granted, contended in grants:
             self.send(
                 name,
                 [
@@ -435,7 +437,7 @@
                     sequence,
                     version,
                     [[*u, n] for u, n in granted.items()],
-                    [list(u) for u in short],
+                    [list(u) for u in contended],
                 ],
             )
 
@@ -472,7 +474,7 @@
             self.send_grants(self.allocator.request(now, (name, life), sequence, answered_sequence, requests))
 
     def lease_granted(self, now: int, message: list) -> None:
-        _, name, life, sequence, version, rows, short = message
+        _, name, life, sequence, version, rows, contended = message
         if life != self.life or not are_counts([sequence, version], 2):
             return
         granted = {(row[0], row[1]): row[2] for row in rows if are_counts(row, 3) and row[0] in self.limits}
@@ -481,16 +483,16 @@
             sequence,
             version,
             granted,
-            {tuple(u) for u in short if are_counts(u, 2)},
+            {tuple(u) for u in contended if are_counts(u, 2)},
             lambda unit: not self.limits[unit[0]].counts_places,
         ):
             self.leader_hint = name
             self.publish_allowance(now)
 
 
-def host_hash(server) -> int:
+def host_hash(host_state) -> int:
     """Returns 32 bits of the host's hash, the same at every proxy and never 0, which stands for tokens."""
-    return server.entry.hash & 0xFFFFFFFF or 1
+    return host_state.entry.hash & 0xFFFFFFFF or 1
 
 
 def are_counts(row, length: int) -> bool:
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -6,7 +6,7 @@
 ramp is over, or when no live evidence against it remains. One proxy at a time, selected by a hash that all
 members compute alike, tries one host that is out, with an attempt that costs its transaction nothing.
 
-    A verdict expires when the last evidence for it is older than the lifetime of a `trial` fact.
+    A verdict expires when the latest evidence for it is older than the lifetime of a `trial` fact.
     No more than MAX_OUT_SHARE of the ready hosts are out, whatever members report.
     A member that alone blames several hosts has a bad link of its own; its reports are ignored.
 
@@ -34,23 +34,23 @@
 MIN_FAULTS, MIN_WITNESSES, MIN_FAULT_SHARE = 4, 3, 0.3
 MAX_OUT_SHARE = 0.3  # of the ready hosts
 BAD_LINK_MIN_HOSTS = 3  # a member that alone blames this many hosts has a bad link itself
-# Least time between two reports on a host: when it got worse, and when only the counts changed.
+# Minimum ticks between two reports on a host: when it got worse, and when only the counts changed.
 WORSE_REPORT_INTERVAL, COUNTS_REPORT_INTERVAL = 1_000, 3_000
-# Time between trials while a host went out less than RECENTLY_OUT ago, and otherwise.
+# Ticks between trials: while a host went out less than RECENTLY_OUT ticks ago, and otherwise.
 TRIAL_INTERVAL, SLOW_TRIAL_INTERVAL, RECENTLY_OUT = 10_000, 18_000, 50_000
-# Time to the next trial after an answered one; time within which all hosts that are out are tried once; and
-# the least interval that this cycle may lead to.
+# Ticks from an answered trial to the next one; ticks within which all hosts that are out are tried once; the
+# shortest interval that this cycle may lead to.
 INTERVAL_AFTER_SUCCESS, TRIAL_CYCLE, MIN_TRIAL_INTERVAL = 500, 60_000, 2_000
-# While nobody starts a due trial, the number of members that may start it doubles at this interval.
+# Ticks after which the number of members that may start a due trial doubles, while none has started it.
 CANDIDATE_DOUBLING_INTERVAL = 2_000
-TRIAL_TIMEOUT = 10_000  # after which a trial under way counts as lost
-RAMP_DURATION = 10_000  # from no traffic to the host's full share
-# How long one event keeps the decision core away from a host, and when the event is renewed.
+TRIAL_TIMEOUT = 10_000  # ticks after which a trial under way counts as lost
+RAMP_DURATION = 10_000  # ticks from no traffic to the host's full share
+# Ticks for which one event keeps the decision core away from a host, and after which it is renewed.
 OUT_LEASE, OUT_LEASE_REFRESH = 20_000, 10_000
 # Trials in a row that must be answered before a host returns; one more for each strike after the first.
 SUCCESSES_AFTER_SILENCE, SUCCESSES_AFTER_FAILING, MAX_SUCCESSES = 1, 3, 6
-STRIKE_MEMORY = 300_000  # a host that goes out again within this time gets a strike
-RETURN_GRACE = 3_000  # reports published this soon after a return may rest on outcomes before it
+STRIKE_MEMORY = 300_000  # ticks within which a host that goes out again gets a further strike
+RETURN_GRACE = 3_000  # ticks; a report published this soon after a return may count outcomes from before it
 
 OPEN, OUT, RETURNING = "open", "out", "back"
 SILENT, FAILING = "silent", "failing"
@@ -82,8 +82,8 @@
     fact_id: int = 0  # of the fact that carried it
 
 
-class HostState:
-    """State of a host that is out or returning. An open host keeps it for STRIKE_MEMORY, for its strikes."""
+class VerdictState:
+    """The verdict on a host that is out or returning; kept for STRIKE_MEMORY after its last strike."""
 
     __slots__ = (
         "state",
@@ -172,9 +172,9 @@
     return {name: rank for rank, name in enumerate(ordered)}
 
 
-def subject_of(line: interface.HostEntry) -> str:
+def subject_of(entry: interface.HostEntry) -> str:
     """Returns the subject of facts on a host's process; a restarted host is a new subject."""
-    return f"{line.hash:x}.{line.started_at or 0}"
+    return f"{entry.hash:x}.{entry.started_at or 0}"
 
 
 class HostVerdicts:
@@ -189,10 +189,10 @@
     ) -> None:
         self.proxy, self.table, self.live, self.log_event = proxy, table, live, log_event
         self.observations = HostObservations(table.me, zone)
-        self.states: dict[str, HostState] = {}  # by subject; entries expire with their strikes
+        self.states: dict[str, VerdictState] = {}  # by subject; entries expire with their strikes
         self.own_reports: dict[str, HostReport] = {}  # subject -> last published; entries expire
         self.requested_trial: tuple | None = None  # (host, round) given to the decision core
-        # (tx, host, subject, round, successes before it, required, reason, started_at)
+        # (tx, host, subject, round, successes before it, successes required, reason, started_at)
         self.running_trial: tuple | None = None
         self.listed_hosts, self.host_by_subject = None, {}  # ready hosts when last read; subject -> host
         self.last_judged: tuple | None = None  # hosts and trial of the last event
@@ -264,7 +264,9 @@
         """Reads the live reports by host, leaving out those of members whose own link is bad."""
         if self.listed_hosts is not self.proxy.ready:
             self.listed_hosts = self.proxy.ready
-            self.host_by_subject = {subject_of(server.entry): server.id for server in self.listed_hosts}
+            self.host_by_subject = {
+                subject_of(host_state.entry): host_state.id for host_state in self.listed_hosts
+            }
             self.observations.forget_unlisted(self.proxy.hosts)
         reports = {}
         for subject in self.table.subjects(HOST_FACT):
@@ -315,7 +317,7 @@
         subjects = set(self.reports) | set(self.states) | set(latest)
         for subject in sorted(subjects, key=lambda n: (self.states[n].since if n in self.states else now, n)):
             self.update_state(now, subject, latest.get(subject), baseline_share)
-        return self.judged_event(now, self.select_trial(now, trials, latest))
+        return self.verdict_event(now, self.select_trial(now, trials, latest))
 
     def publish_reports(self, now: int, received_until: int, blamed: set[int]) -> None:
         """Publishes this proxy's reports.
@@ -323,8 +325,10 @@
         It reports on hosts that it blames, or has blamed and may now clear, and its counts for hosts that
         several members blame. For a host that is out it reports only that an answer came since.
         """
-        servers = self.proxy.hosts
-        hosts_to_report = {subject_of(servers[host].entry): host for host in blamed if host in servers}
+        host_states = self.proxy.hosts
+        hosts_to_report = {
+            subject_of(host_states[host].entry): host for host in blamed if host in host_states
+        }
         reports_wanted = {
             subject
             for subject, reports in self.reports.items()
@@ -389,7 +393,7 @@
 
     def update_state(self, now: int, subject: str, trial: Trial | None, baseline_share: float) -> None:
         """Moves one host to its next state, if the facts call for one, and logs the verdict."""
-        state = self.states.get(subject) or HostState()
+        state = self.states.get(subject) or VerdictState()
         reports = self.reports.get(subject, [])
         detected, by, reason = self.detect(now, state, reports, trial, baseline_share)
         next_state = TRANSITIONS.get((state.state, detected))
@@ -431,7 +435,7 @@
     def detect(
         self,
         now: int,
-        state: HostState,
+        state: VerdictState,
         reports: list[HostReport],
         trial: Trial | None,
         baseline_share: float,
@@ -455,7 +459,7 @@
                 and (trial.zone == self.observations.zone)
             )
             if state.state == OPEN and failed and not any(r.heard_at > trial.started_at for r in reports):
-                return "blamed", [trial], trial.reason  # joined late: others had it out and saw it fail
+                return "blamed", [trial], trial.reason  # joined late: others have it out and a trial failed
             return (
                 ("ramp over" if state.state == RETURNING and now - state.since >= RAMP_DURATION else ""),
                 [],
@@ -480,7 +484,7 @@
         out = sum(
             state.state == OUT for subject, state in self.states.items() if subject in self.host_by_subject
         )
-        fresh = sum(server.cold_since is not None for server in self.listed_hosts)
+        fresh = sum(host_state.cold_since is not None for host_state in self.listed_hosts)
         return out + fresh >= int(MAX_OUT_SHARE * len(self.listed_hosts))
 
     # ---- trials
@@ -520,7 +524,7 @@
 
     # ---- output
 
-    def judged_event(self, now: int, trial: tuple | None) -> interface.HostVerdicts | None:
+    def verdict_event(self, now: int, trial: tuple | None) -> interface.HostVerdicts | None:
         """Returns the event with all hosts out or returning; None if nothing changed or is due."""
         hosts = []
         for subject, state in self.states.items():
@@ -531,16 +535,21 @@
                 hosts.append((host, now + OUT_LEASE, now + OUT_LEASE + RAMP_DURATION))
             elif state.state == RETURNING:
                 hosts.append((host, state.since, state.since + RAMP_DURATION))
-        judged = tuple((host, whole if shut <= now else OUT) for host, shut, whole in hosts), trial
+        judged = (
+            tuple((host, ramp_until if until <= now else OUT) for host, until, ramp_until in hosts),
+            trial,
+        )
         self.requested_trial = trial
         if judged == self.last_judged and now < self.refresh_at:
             return None
-        closed = {host for host, _, _ in hosts}
-        opened = [host for host, _ in (self.last_judged[0] if self.last_judged else ()) if host not in closed]
+        judged_hosts = {host for host, _, _ in hosts}
+        reopened = [
+            host for host, _ in (self.last_judged[0] if self.last_judged else ()) if host not in judged_hosts
+        ]
         self.last_judged, self.refresh_at = judged, now + OUT_LEASE_REFRESH
-        if not hosts and not opened and trial is None:
+        if not hosts and not reopened and trial is None:
             return None
-        hosts += [(host, 0, 0) for host in opened]
+        hosts += [(host, 0, 0) for host in reopened]
         return interface.HostVerdicts(tuple(hosts), trial[0] if trial else None)
 
     def view(self, now: int) -> list[dict]:
--- a/basalthook/membership/member.py
+++ b/basalthook/membership/member.py
@@ -19,11 +19,11 @@
 PROBE_PERIOD, PROBE_TIMEOUT = 5_000, 2_000  # ticks between probes, and until indirect probes start
 INDIRECT_PROBES = 3  # members asked to ping a silent one
 MAX_WITNESSES = 3  # further witnesses that bring a suspicion to its shortest time-out
-# Shortest time-out of a suspicion, in periods times log10 of the number of members; and the longest, in
-# multiples of the shortest.
+# Shortest time-out of a suspicion, in probe periods, multiplied by log10 of the number of members; and the
+# longest one, as a multiple of the shortest.
 MIN_SUSPICION_FACTOR, SUSPICION_STRETCH = 3.0, 4.0
 MAX_HEALTH_PENALTY = 8  # of Lifeguard's local health multiplier
-LATE_TICK_FACTOR = 2.0  # this process was late if so many periods passed between two ticks
+LATE_TICK_FACTOR = 2.0  # probe periods between two ticks from which this process counts as late
 # Updates piggybacked on a message; members in a page; bytes of updates in a message.
 MAX_PIGGYBACKED, PAGE_SIZE, MAX_UPDATE_BYTES = 8, 20, 1_050
 RETRANSMIT_FACTOR = 3  # an update is sent so many times for each doubling of the members
@@ -39,7 +39,7 @@
     name: str
     host: str
     port: int
-    life: int  # of its process; a restart has a greater one
+    life: int  # number of its process; a restarted one has a greater number
     incarnation: int
     state: int
     by: str = ""  # of a suspicion: the member whose own probes failed
@@ -291,7 +291,7 @@
         if len(message) != 5 or message[3] != self.name:
             return  # meant for a member that used this address before
         self.apply_updates(now, message[4], message[1])
-        if message[1] not in self.peers:  # learns about an unknown sender
+        if message[1] not in self.peers:  # requests its state, as the sender is unknown
             self.request_page(now, source, "")
         self.send(source, [ACK, self.name, message[2], self.updates_for(message[1])])
 
@@ -359,7 +359,7 @@
                     self.apply_update(now, update, by)
 
     def apply_update(self, now: int, update: Update, by: str) -> None:
-        """Applies an update received from `by`, and passes it on if it is news."""
+        """Applies an update received from `by`, and passes it on if it is newer."""
         if update.name == self.name:
             return self.refute(update)
         previous = self.peers.get(update.name)
@@ -380,7 +380,7 @@
         if previous is None and len(self.peers) >= MAX_MEMBERS:
             return
         if previous is None and update.state == DEAD:
-            return  # a new member must not fill its table with those long gone
+            return  # a new member must not fill its table with members that died long ago
         self.peers[update.name] = update
         self.suspicions.pop(update.name, None)
         self.died_at.pop(update.name, None)
