--- a/tests/fake.py
+++ b/tests/fake.py
@@ -43,25 +43,25 @@
 
     def __init__(self, number, zone="a", cell=0, outcome=interface.COMMITTED, started=None, kind=""):
         self.outcome, self.received = outcome, []
-        self.line = interface.HostEntry(
+        self.entry = interface.HostEntry(
             number, 7919 * (number + 1) ** 3, zone, cell, True, 1.0, started, kind
         )
 
 
-class Stage:
-    """The decisions of one proxy against fake hosts, in virtual time; `elapsed`: ticks for each attempt."""
+class ProxyHarness:
+    """Runs one proxy's decisions against fake hosts in virtual time; an attempt takes `elapsed` ticks."""
 
     def __init__(self, hosts, seed=1, elapsed=300, **settings):
         merged = {**POLICY_DEFAULTS, **settings}
         self.now, self.next_tx, self.elapsed = 1_000_000, 0, elapsed
-        self.hosts = {h.line.host_id: h for h in hosts}
+        self.hosts = {h.entry.host_id: h for h in hosts}
         self.proxy = Proxy(interface.PolicySettings(**merged), seed, self.now)
         self.handler = PollingPolicy(
             DiscoverySchedule(self.proxy.settings, self.proxy.rng), FaultAggregator(self.proxy)
         )
         self.effects, self.answers, self.attempts, self.timers = [], {}, {}, []
         self.run(self.handler.begin())
-        self.deliver(interface.HostListReceived(tuple(h.line for h in hosts), True, True))
+        self.deliver(interface.HostListReceived(tuple(h.entry for h in hosts), True, True))
 
     def deliver(self, event):
         self.run(self.handler.handle(self.now, event))
@@ -83,10 +83,10 @@
                 self.timers.append((self.now + effect.delay, effect.timer_id))
 
     def end(self, tx, attempt, host, outcome, elapsed=None):
-        closed = outcome == interface.COMMITTED
-        if closed:
+        final = outcome == interface.COMMITTED
+        if final:
             self.answers.setdefault(tx, interface.COMMITTED)
-        self.deliver(interface.AttemptEnded(tx, attempt, host, outcome, elapsed or self.elapsed, closed))
+        self.deliver(interface.AttemptEnded(tx, attempt, host, outcome, elapsed or self.elapsed, final))
 
     def arrive(self, profile=IDEMPOTENT, key=None, time_left=20_000, tenant=None):
         tx, self.next_tx = self.next_tx, self.next_tx + 1
@@ -111,9 +111,9 @@
         for host in self.hosts.values():
             host.outcome = outcome
 
-    def set_slowdown(self, strain):
+    def set_slowdown(self, slowdown):
         self.wait(30_000)
-        self.proxy.slowdown = strain
+        self.proxy.slowdown = slowdown
 
     def sent_to(self):
         return [e.host for e in self.effects if isinstance(e, interface.SendAttempt)]
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -5,7 +5,7 @@
 
 from basalthook.policy import interface
 from basalthook.routing.dispatcher import Response
-from tests.fake import JOURNALLED_EVERYWHERE, RESET, SILENT, FakeHost, SocketHost, Stage
+from tests.fake import JOURNALLED_EVERYWHERE, RESET, SILENT, FakeHost, ProxyHarness, SocketHost
 from tests.loopback import Loopback
 
 REASONS = (
@@ -113,7 +113,7 @@
 
 class Reasons(unittest.TestCase):
     def test_an_attempt_past_its_deadline_or_of_a_request_that_is_over_may_not_begin(self):
-        stage = Stage([FakeHost(0, outcome=None)])
+        stage = ProxyHarness([FakeHost(0, outcome=None)])
         stage.arrive(JOURNALLED_EVERYWHERE, key=1)
         (tx,) = stage.hosts[0].received
         self.assertIsNone(stage.proxy.start_refusal(stage.now, tx, 0))
@@ -126,7 +126,7 @@
 class SlowStart(unittest.TestCase):
     def test_attempts_with_slow_connections_count_in_a_cold_hosts_window_when_they_begin(self):
         cold = FakeHost(0, started=990_000, outcome=None)
-        stage = Stage([cold])
+        stage = ProxyHarness([cold])
         stage.proxy.commit_rate = 40.0
         stage.arrive_many(40)
         first = len(cold.received)
@@ -145,7 +145,7 @@
 class Refusals(unittest.TestCase):
     def test_a_keyed_request_that_may_have_run_is_not_rolled_back_after_its_window(self):
         for elapsed, answer in ((1_000, interface.RollBack), (7_000, interface.Abandon)):
-            stage = Stage([FakeHost(0, outcome=interface.RESET)], elapsed=elapsed, max_attempts=1)
+            stage = ProxyHarness([FakeHost(0, outcome=interface.RESET)], elapsed=elapsed, max_attempts=1)
             self.assertEqual(stage.answers.get(stage.arrive(JOURNALLED_EVERYWHERE, key=1)), answer)
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Hosts that leave get no more work, whether discovery is silent, resets, is slow or sends wrong lists."""
+"""Following the host list: hosts that leave get no attempts, however discovery fails."""
 
 import asyncio
 import unittest
@@ -14,9 +14,9 @@
 from tests.loopback import Loopback
 
 
-def make_schedule(seed=1, **terms):
+def make_schedule(seed=1, **changes):
     return DiscoverySchedule(
-        interface.PolicySettings(**{**POLICY_DEFAULTS, "drain_grace": 5_000, **terms}), Random(seed)
+        interface.PolicySettings(**{**POLICY_DEFAULTS, "drain_grace": 5_000, **changes}), Random(seed)
     )
 
 
@@ -147,7 +147,7 @@
                 line = await asyncio.wait_for(self.discovery.received.get(), 5)
                 waits.append(int(line.rsplit("wait=", 1)[1]))
                 self.discovery.publish(1)
-            waits = [wait for wait in waits if wait]  # a pushed list is asked for once without a wait
+            waits = [wait for wait in waits if wait]  # a pushed list is requested once without a wait
             self.assertLessEqual(waits[0], longest)
             self.assertGreater(waits[-1], waits[0])
             await self.stop()
@@ -204,8 +204,8 @@
         watch.set_address(address)
         self.assertIn("index=1", await asyncio.wait_for(self.discovery.received.get(), 1))
 
-    async def test_a_discovery_with_a_lower_version_is_asked_for_the_whole_list(self):
-        # Otherwise it would be asked forever for changes after a version that it never reaches.
+    async def test_the_whole_list_is_requested_from_a_discovery_with_a_lower_version(self):
+        # Otherwise changes after a version that it never reaches would be requested forever.
         await self.start_proxy(SocketHost())
         for version, full in ((5, False), (2, False), (2, True)):
             self.discovery.publish(version, self.hosts[0].line("s-0", state="draining"), full=full)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 from basalthook.policy import interface
 from basalthook.recovery import policy_state
 from tests import test_program
-from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
+from tests.fake import OK, SILENT, Caller, FakeHost, ProxyHarness, SocketDiscovery, SocketHost, start_up
 
 NAMES = ["idem", "scan", "non", "push", "upload"]
 
@@ -109,9 +109,9 @@
 
     def make_successor(self, stage, hosts, wait=0):
         """A new proxy with the same hosts and the old one's state, passed on as JSON."""
-        ids = {h.line.host_id: f"s-{h.line.host_id}" for h in hosts}
+        ids = {h.entry.host_id: f"s-{h.entry.host_id}" for h in hosts}
         state = json.loads(json.dumps(policy_state.export_state(stage.proxy, ids, NAMES)))
-        successor = Stage(hosts, seed=2)
+        successor = ProxyHarness(hosts, seed=2)
         successor.now = stage.now + wait
         restored = policy_state.restore_state(
             successor.proxy, state, {name: n for n, name in ids.items()}, NAMES, successor.now, 30_000
@@ -120,7 +120,7 @@
 
     def test_bans_hold_and_end_when_they_would_have(self):
         hosts = [FakeHost(0, outcome=interface.UNREACHABLE), FakeHost(1)]
-        stage = Stage(hosts)
+        stage = ProxyHarness(hosts)
         stage.arrive_many(10)
         new, restored = self.make_successor(stage, hosts)
         self.assertEqual(restored, 2)
@@ -132,21 +132,21 @@
 
     def test_a_cold_host_keeps_its_age_and_sent_times_and_a_restarted_one_is_new(self):
         hosts = [FakeHost(0), FakeHost(1, started=1_000_000)]
-        stage = Stage(hosts)
+        stage = ProxyHarness(hosts)
         stage.arrive_many(60)
         old = stage.proxy.hosts[1]
         new, _ = self.make_successor(stage, hosts)
         host = new.proxy.hosts[1]
         self.assertEqual((host.cold_since, list(host.sent.times)), (old.cold_since, list(old.sent.times)))
         self.assertEqual(new.proxy.commit_rate, stage.proxy.commit_rate)
-        hosts[1].line = hosts[1].line._replace(started_at=stage.now)
+        hosts[1].entry = hosts[1].entry._replace(started_at=stage.now)
         again, restored = self.make_successor(stage, hosts)
         self.assertEqual((restored, again.proxy.hosts[1].cold_since), (1, stage.now))
         self.assertFalse(again.proxy.hosts[1].sent.times)
 
     def test_the_estimate_of_load_decays(self):
         hosts = [FakeHost(0), FakeHost(1)]
-        stage = Stage(hosts)
+        stage = ProxyHarness(hosts)
         stage.arrive_many(5)
         stage.proxy.slowdown = 3.0
         self.assertEqual(self.make_successor(stage, hosts)[0].proxy.slowdown, 3.0)
@@ -156,13 +156,13 @@
         hosts = [FakeHost(0)]
         for state in ({}, {"at": 1}, {"at": "x", "born": 0}, [], None):
             with self.assertRaises((ValueError, TypeError, KeyError, AttributeError)):
-                policy_state.restore_state(Stage(hosts).proxy, state, {}, NAMES, 1_000_000, 30_000)
+                policy_state.restore_state(ProxyHarness(hosts).proxy, state, {}, NAMES, 1_000_000, 30_000)
 
     def test_while_two_processes_run_each_uses_half_of_a_cold_hosts_limit(self):
         sent = []
         for processes in (1, 2):
             hosts = [FakeHost(n) for n in range(3)] + [FakeHost(3, started=2_000_000)]
-            stage = Stage(hosts, proxies=1)
+            stage = ProxyHarness(hosts, proxies=1)
             stage.arrive_many(300)
             stage.now = 2_000_000
             stage.proxy.commit_rate = 40.0
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -21,7 +21,7 @@
 from basalthook.transport.descriptors import DescriptorBudget
 from basalthook.transport.event_loop import TimedSelector, run
 from basalthook.transport.timers import COMPACT_THRESHOLD, Timers
-from tests.fake import OK, SILENT, Caller, FakeHost, SocketDiscovery, SocketHost, Stage, start_up
+from tests.fake import OK, SILENT, Caller, FakeHost, ProxyHarness, SocketDiscovery, SocketHost, start_up
 
 GOAL = 1_500
 
@@ -75,7 +75,7 @@
 
 class SilentHosts(unittest.TestCase):
     def stage(self, **terms):
-        return Stage([FakeHost(n) for n in range(2)], proxies=1, **terms)
+        return ProxyHarness([FakeHost(n) for n in range(2)], proxies=1, **terms)
 
     def test_an_attempt_overtaken_by_later_ones_takes_no_capacity_and_signals_no_overload(self):
         """Five such attempts were always pending, so hosts that answered all others got no more work.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -33,7 +33,7 @@
 from basalthook.lab.wire import Done, Got
 from basalthook.membership import wire
 from basalthook.policy import interface
-from tests.fake import FakeHost, Stage
+from tests.fake import FakeHost, ProxyHarness
 
 PLACES, TOKENS = Limit("places", HOST, 3), Limit("rate", RATE, 40, 60)
 PLACES_UNIT, TOKENS_UNIT = (PLACES.id, 7), (TOKENS.id, 0)
@@ -62,8 +62,8 @@
         holder.accept_grant = accept_and_forget
 
 
-class ReportsBeforeGivingUp(Member):
-    """Planted fault: a holder gives places up only after its request has said so."""
+class ReleasesBeforeStopping(Member):
+    """Planted fault: a holder uses places for a while after its request has released them."""
 
     def __init__(self, run, n):
         super().__init__(run, n)
@@ -88,7 +88,7 @@
         for member_class, rule in (
             (LeaderWithoutWaiting, "over"),
             (DoubleCountingHolder, "spent"),
-            (ReportsBeforeGivingUp, "over"),
+            (ReleasesBeforeStopping, "over"),
         ):
             found = (
                 violation.rule
@@ -98,9 +98,9 @@
             self.assertEqual(next(found, None), rule, member_class)
 
     def test_own_places_wait_until_attempts_of_the_previous_process_are_over(self):
-        """A process restarted at once used its own places beside running attempts of the process before it.
+        """A restarted process used its own places while attempts of the previous process were still running.
 
-        With seed 432 of the schedules this brought a host with three places to four attempts.
+        With seed 432 of the schedules, a host with three places thus had four attempts.
         """
         run = next(
             run for run in map(LeaseSchedule, range(20)) if int(run.limits[0].floor * run.limits[0].amount)
@@ -156,8 +156,8 @@
         self.limits, self.proxy = self.member.limits, self.member.proxy
 
     def add_attempt(self, host):
-        server = self.proxy.hosts[host]
-        server.attempts[host] = self.proxy.attempts[host] = server, 0, 0
+        host_state = self.proxy.hosts[host]
+        host_state.attempts[host] = self.proxy.attempts[host] = host_state, 0, 0
 
     def test_requests_name_all_places_in_use_and_fit_a_datagram_like_their_answers(self):
         now = self.run.clock(1)
@@ -261,30 +261,32 @@
 
 class DecisionCore(unittest.TestCase):
     def test_attempts_wait_for_a_place_and_go_where_one_is_allowed(self):
-        stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.deliver(
+        harness = ProxyHarness([FakeHost(n, outcome=None) for n in range(2)])
+        harness.deliver(
             interface.LimitsUpdated(
                 (((interface.PER_HOST, None), 0, 0, 0), ((interface.PER_HOST, 1), 0, 1, 10**9))
             )
         )
-        stage.arrive_many(2)
-        self.assertEqual(stage.sent_to(), [1])
-        stage.deliver(interface.LimitsUpdated((((interface.PER_HOST, 0), 1, 0, 0),)))
-        self.assertEqual(sorted(stage.sent_to()), [0, 1])
+        harness.arrive_many(2)
+        self.assertEqual(harness.sent_to(), [1])
+        harness.deliver(interface.LimitsUpdated((((interface.PER_HOST, 0), 1, 0, 0),)))
+        self.assertEqual(sorted(harness.sent_to()), [0, 1])
 
     def test_an_expired_allowance_is_not_used_and_tokens_are_used_up(self):
-        stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.deliver(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 1, 1, stage.now + 100),)))
-        stage.arrive_many(1)
-        stage.wait(200)
-        stage.arrive_many(1)
-        self.assertEqual(len(stage.sent_to()), 1)
-
-    def test_refused_clients_are_told_when_to_retry(self):
-        stage = Stage([FakeHost(n, outcome=None) for n in range(2)])
-        stage.deliver(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 0, 0, 0),), (), 7_000))
-        stage.arrive_many(1)
-        (rollback,) = [e for e in stage.effects if isinstance(e, interface.RollBack)]
+        harness = ProxyHarness([FakeHost(n, outcome=None) for n in range(2)])
+        harness.deliver(
+            interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 1, 1, harness.now + 100),))
+        )
+        harness.arrive_many(1)
+        harness.wait(200)
+        harness.arrive_many(1)
+        self.assertEqual(len(harness.sent_to()), 1)
+
+    def test_refused_clients_get_a_retry_time(self):
+        harness = ProxyHarness([FakeHost(n, outcome=None) for n in range(2)])
+        harness.deliver(interface.LimitsUpdated((((interface.FIRST_ATTEMPT, None), 0, 0, 0),), (), 7_000))
+        harness.arrive_many(1)
+        (rollback,) = [e for e in harness.effects if isinstance(e, interface.RollBack)]
         self.assertTrue(5_000 < rollback.retry_after < 9_000)
 
 
@@ -307,7 +309,7 @@
         self.assertEqual(Limit("r", RATE, 40, 60, over=BOUNDED, floor=0.25).max_excess(), 0.25)
         self.assertEqual(
             Limit("r", RATE, 0, 0, over=BOUNDED, floor=0.25).max_excess(), 0.25
-        )  # once a division by zero
+        )  # an amount of 0 caused a division by zero
         limit = Limit("p", HOST, 8, floor=0.5)
         own = sum(limit.own_places_at(99, position, 5) for position in range(5))
         self.assertEqual((own, limit.lendable()), (4, 4))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -219,7 +219,7 @@
         self.assertGreater(member.health_penalty, 0)
 
     def test_updates_on_an_earlier_life_do_not_override_a_restarted_member(self):
-        """After its clock was set back the earlier life has the greater number."""
+        """If its clock was set back, the earlier life has the greater number."""
         member = self.member("a", life=5)
         member.apply_update(0, Update("me", "me", 1, 900, 7, DEAD), "a")
         self.assertGreater(member.me.rank, (900, 7, DEAD))
@@ -273,11 +273,15 @@
 
 
 class WithoutRepair(Gossip):
+    """Planted fault: members never compare digests."""
+
     def repair(self, now):
         pass
 
 
 class WithoutDeadProbes(Gossip):
+    """Planted fault: dead members are never probed for their return."""
+
     def __init__(self, *args):
         super().__init__(*args)
         self.member.probe_dead_members = lambda now: None
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -36,8 +36,8 @@
     return f"[[faults]]\nwhat = '{kind}'\nat = {at}\nlasts = {lasts}\n{settings_lines}"
 
 
-def play(*faults, seconds=16, zones=("a",), seed=1, proxies=20):
-    """Simulates twenty proxies with twenty hosts.
+def simulate(*faults, seconds=16, zones=("a",), seed=1, proxies=20):
+    """Simulates `proxies` proxies with twenty hosts.
 
     Returns the run, its result and a count by (host, proxy) of how often a proxy took a host out.
     """
@@ -56,9 +56,9 @@
     )
     run = decisions.SimulatedFleet(parsed, seed)
     run.run()
-    marks = {f"{mark:x}": host for host, mark in enumerate(run.host_hashes)}
+    host_by_hash = {f"{host_hash:x}": host for host, host_hash in enumerate(run.host_hashes)}
     out = Counter(
-        (marks[fields["host"].split(".")[0]], n)
+        (host_by_hash[fields["host"].split(".")[0]], n)
         for _, n, event, fields in run.members.log_events
         if event == "verdict" and fields["state"] == OUT
     )
@@ -82,14 +82,18 @@
         self.assertEqual(result.fleet_figures["over_age"], 0)
 
     def test_three_silent_hosts_go_out_and_return_at_all_members(self):
-        run, result, out = play(fault("silent", hosts=[0, 1, 2]))
+        run, result, out = simulate(fault("silent", hosts=[0, 1, 2]))
         self.assert_invariants(result)
         self.assertGreater(result.verdict.service, 0.98)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertLess(result.fleet_figures["agree_s"][0], 2.5)
-        self.assertFalse(any(s.state == OUT for mind in run.members.verdicts for s in mind.states.values()))
-        back = Counter(e.host in (0, 1, 2) for e in run.wire if type(e).__name__ == "Got" and e.at > 115)
-        self.assertGreater(back[True] / 3, 0.5 * back[False] / 17)
+        self.assertFalse(
+            any(s.state == OUT for member in run.members.verdicts for s in member.states.values())
+        )
+        attempts_at_returned = Counter(
+            e.host in (0, 1, 2) for e in run.wire if type(e).__name__ == "Got" and e.at > 115
+        )
+        self.assertGreater(attempts_at_returned[True] / 3, 0.5 * attempts_at_returned[False] / 17)
 
     def test_lost_duplicated_and_corrupt_datagrams_only_delay_verdicts(self):
         lossy_links = fault(
@@ -103,44 +107,44 @@
             delay=0.05,
             spoils=0.1,
         )
-        _, result, out = play(fault("silent", hosts=[0, 1, 2]), lossy_links)
+        _, result, out = simulate(fault("silent", hosts=[0, 1, 2]), lossy_links)
         self.assert_invariants(result)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertGreater(result.verdict.service, 0.97)
 
     def test_hosts_that_lose_most_answers_or_fail_half_go_out(self):
         for what, share in (("lose_answers", 0.9), ("errors", 0.5)):
-            _, result, out = play(fault(what, share=share, hosts=[0]), seconds=20)
+            _, result, out = simulate(fault(what, share=share, hosts=[0]), seconds=20)
             self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0}, what)
             self.assertGreaterEqual(len(out), 18)
 
     def test_a_host_that_one_zone_cannot_reach_is_out_in_that_zone_only(self):
         even = [f"p{n}" for n in range(0, 20, 2)]  # proxies of zone a
-        _, result, out = play(fault("cut", between=[even, ["h1"]]), zones=("a", "b"))
+        _, result, out = simulate(fault("cut", between=[even, ["h1"]]), zones=("a", "b"))
         self.assert_invariants(result)
         self.assertEqual({(host, n % 2) for host, n in out}, {(1, 0)})
 
     def test_a_proxy_with_a_bad_link_takes_no_host_out_for_others(self):
-        run, result, out = play(fault("lossy", lasts=10, between=[["p7"], ["h0-19"]], loses=0.5))
+        run, result, out = simulate(fault("lossy", lasts=10, between=[["p7"], ["h0-19"]], loses=0.5))
         self.assert_invariants(result)
         self.assertLessEqual({n for _, n in out}, {7})
 
     def test_a_healed_partition_agrees_again_without_a_restart(self):
         for one_way in (False, True):
             cut = fault("cut", at=2, lasts=20, between=[["p0-9"], ["p10-19"]], one_way=one_way)
-            run, result, out = play(fault("silent", at=4, lasts=8, hosts=[0]), cut, seconds=34)
+            run, result, out = simulate(fault("silent", at=4, lasts=8, hosts=[0]), cut, seconds=34)
             self.assert_invariants(result)
             self.assertEqual({host for host, _ in out}, {0})
-            self.assertEqual({len(talk.live()) for talk in run.members.gossip_instances}, {20})
+            self.assertEqual({len(gossip.live()) for gossip in run.members.gossip_instances}, {20})
             # verdicts that the other half revoked during the cut must not survive here
             self.assertFalse(
-                any(s.state == OUT for mind in run.members.verdicts for s in mind.states.values())
+                any(s.state == OUT for member in run.members.verdicts for s in member.states.values())
             )
 
     def test_verdicts_survive_killed_and_stopped_members(self):
         for what in ("kill_proxy", "stop_proxy"):
-            _, result, out = play(
+            _, result, out = simulate(
                 fault("silent", hosts=[0, 1], lasts=12),
                 fault(what, at=4.5, lasts=11, proxies=[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]),
                 seconds=22,
@@ -151,19 +155,21 @@
 
     def test_clock_offset_and_drift_change_nothing(self):
         clocks = fault("clock", at=0, lasts=9, ahead=3600.0, rate=1.02, proxies=[0, 1, 2, 3, 4, 5])
-        _, result, out = play(fault("silent", hosts=[0, 1, 2]), clocks)
+        _, result, out = simulate(fault("silent", hosts=[0, 1, 2]), clocks)
         self.assert_invariants(result)
         self.assertEqual({host for host, _ in out}, {0, 1, 2})
         self.assertGreater(result.verdict.service, 0.98)
 
     def test_a_proxy_restarted_twenty_times_under_one_name_ends_as_a_member(self):
         kills = [fault("kill_proxy", at=1 + 0.7 * n, lasts=0.4, proxies=[3]) for n in range(20)]
-        run, result, _ = play(*kills, seconds=24)
+        run, result, _ = simulate(*kills, seconds=24)
         self.assert_invariants(result)
-        self.assertEqual({len(talk.live()) for talk in run.members.gossip_instances}, {20})
+        self.assertEqual({len(gossip.live()) for gossip in run.members.gossip_instances}, {20})
 
     def test_the_same_seed_gives_the_same_run(self):
-        digests = {play(fault("silent", hosts=[0]), seconds=7, proxies=6)[0].digest.hexdigest() for _ in "ab"}
+        digests = {
+            simulate(fault("silent", hosts=[0]), seconds=7, proxies=6)[0].digest.hexdigest() for _ in "ab"
+        }
         self.assertEqual(len(digests), 1)
 
     def test_the_lab_detects_a_table_that_never_expires_facts(self):
@@ -177,7 +183,7 @@
             patch.object(FactTable, "parsed", parsed_without_expiry),
             patch.object(FactTable, "expire", lambda *_: None),
         ):
-            _, result, _ = play(fault("silent", hosts=[0], lasts=10))
+            _, result, _ = simulate(fault("silent", hosts=[0], lasts=10))
         self.assertGreater(result.fleet_figures["over_age"], 0)
 
 
@@ -247,7 +253,7 @@
     def test_most_hosts_stay_open_when_every_member_blames_all(self):
         now = 1_000_000
         for n in range(30):
-            for server in self.proxy.hosts.values():
+            for host_state in self.proxy.hosts.values():
                 blame = make_report(f"p{n}", now - 100, lost=9)._replace(published_at=now)
                 self.table.merge(
                     now,
@@ -255,8 +261,8 @@
                         f"p{n}",
                         1,
                         HOST_FACT,
-                        subject_of(server.entry),
-                        server.id + 1,
+                        subject_of(host_state.entry),
+                        host_state.id + 1,
                         report_value("a", blame),
                         0,
                     ),
@@ -277,7 +283,7 @@
         later = now + FACT_LIFETIMES[TRIAL_FACT] + FACT_LIFETIMES[HOST_FACT]
         self.host_verdicts.evaluate(later, later)
         self.assertFalse(any(s.state == OUT for s in self.host_verdicts.states.values()))
-        self.assertFalse(any(later < server.ramp_until for server in self.proxy.hosts.values()))
+        self.assertFalse(any(later < host_state.ramp_until for host_state in self.proxy.hosts.values()))
 
     def test_a_verdict_does_not_open_hosts_that_the_proxy_itself_avoids(self):
         self.proxy.handle(
