--- a/basalthook/fleet/allocator.py
+++ b/basalthook/fleet/allocator.py
@@ -2,8 +2,8 @@
 
 A holder's request lists everything that it holds: it has given up whatever is not listed. Each request has a
 sequence number and only the newest is answered; a later version of the same answer may add to it. For each
-holder the leader counts the larger of what the holder said it holds and what it was last granted, until the
-holder's next request, or until the lease and every attempt under it are over.
+holder the leader counts the larger of what the holder reported to hold and what it was last granted, until
+the holder's next request, or until the lease and every attempt under it are over.
 
 A new leader, or one that was out of office for a moment, grants nothing beyond what a holder still holds
 until everything that another leader may have granted has expired. Its token buckets start empty.
--- a/basalthook/fleet/election.py
+++ b/basalthook/fleet/election.py
@@ -33,7 +33,7 @@
     """One voter, which is a candidate as well.
 
     `send(name, message)` sends to another voter; `live()` returns the names of the members seen as alive.
-    `term` is in ticks.
+    `life` is the number of this voter's process, and `term` is in ticks.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
                 self.send(name, [VOTE_REQUEST, self.me, self.life, self.round])
 
     def release_votes(self, now: int) -> None:
-        """Gives back votes short of a majority. Later voters wait longer, to avoid another split."""
+        """Releases votes short of a majority. Voters later in order wait longer, to avoid another split."""
         self.ballots.clear()
         self.valid_until = 0
         live = [name for name in self.voters if name in self.live() or name == self.me]
--- a/basalthook/fleet/facts.py
+++ b/basalthook/fleet/facts.py
@@ -14,7 +14,8 @@
 
 import xxhash
 
-# Beyond these, the oldest facts of an author are dropped, and authors, first those without facts.
+# Facts beyond the first bound are dropped, the author's oldest first; authors beyond the second one, those
+# without facts first.
 MAX_FACTS_PER_AUTHOR, MAX_AUTHORS = 2048, 8192
 BASE_ROUNDS = 2  # rounds in which a new fact is sent as a rumour; one more per doubling of the members
 MAX_TEXT_LENGTH = 120  # characters
--- a/basalthook/fleet/gossip.py
+++ b/basalthook/fleet/gossip.py
@@ -4,8 +4,9 @@
 requests them under a nonce of its own, and adds the time from its request to the answer, on its own clock, to
 the age of each fact. So a datagram that was delayed or replayed can't make a fact look younger than it is.
 
-    RUMOUR: ids of new facts          FETCH: ids that are missing         FACTS: the facts
-    every REPAIR_INTERVAL FETCH_DIFFERING: digests by author over a range; FACTS: those that differ
+    RUMOUR (ids of new facts) is answered with FETCH (ids that the receiver lacks), and that with FACTS.
+    Every REPAIR_INTERVAL, FETCH_DIFFERING (digests by author over a range) is answered with FACTS (those of
+    authors whose digests differ).
 
 All times are ticks of 0.1 ms.
 """
--- a/basalthook/fleet/limits.py
+++ b/basalthook/fleet/limits.py
@@ -38,10 +38,10 @@
 }
 MAX_UNITS = 48  # in one request, as fits a datagram; beyond that, units unused for longest are given up
 IDLE_HOLD = 1_500  # ticks for which an unused place is held while no other holder waits for it
-MIN_REQUEST_INTERVAL = 20  # ticks
+MIN_REQUEST_INTERVAL = 20  # ticks between two requests
 # Ticks of demand for which tokens are requested ahead: the least, and the most, where answers are slow.
 PREFETCH, MAX_PREFETCH = 2_500, TOKEN_LIFETIME * 3 // 4
-MAX_UNANSWERED = 4  # requests lost in a row after which another voter is asked
+MAX_UNANSWERED = 4  # unanswered requests in a row after which they go to another voter
 WAITING_EXAMINED = 8  # waiting transactions for which places are requested
 SCARCITY_WINDOW = 5_000  # ticks after a request during which its answer counts as proof that nothing is free
 # Ticks; refused clients get a random retry-after time between a third of this and all of it.
@@ -147,7 +147,7 @@
             self.demand[unit] *= max(0.0, 1 - elapsed / TICKS_PER_SECOND)
         self.publish_allowance(now)
         self.request_lease(now)
-        # without this, entries of clients that are gone stay queued while no attempt ends
+        # without this event, entries of disconnected clients stay queued while no attempt ends
         if self.proxy.queue:
             self.post_event(interface.LimitsUpdated((), (), self.proxy.allowance.retry_after))
 
@@ -277,7 +277,7 @@
         if not name:
             return
         sequence, answered_sequence, rows = self.holder.request(now, places, tokens, used)
-        self.publish_allowance(now)  # places are given up before the request says so
+        self.publish_allowance(now)  # stops using places before the request releases them
         self.send(
             name,
             [
--- a/basalthook/fleet/verdicts.py
+++ b/basalthook/fleet/verdicts.py
@@ -140,7 +140,7 @@
         if reason or clears:
             return reason, by
     reason, by = assess(reports, baseline_share, members)
-    # reports of a single other zone say nothing about the path from this one
+    # reports from a single other zone do not show how the path from this one is
     return (
         ("", [])
         if {report.zone for report in by}.isdisjoint({zone}) and len({r.zone for r in by}) == 1
@@ -479,7 +479,7 @@
     def out_limit_reached(self) -> bool:
         """Whether no more hosts may go out: those out and those just started together reach MAX_OUT_SHARE.
 
-        Traffic that is kept from some hosts must not overload those that can take little yet.
+        Traffic diverted from hosts that are out must not overload cold hosts, which can take little yet.
         """
         out = sum(
             state.state == OUT for subject, state in self.states.items() if subject in self.host_by_subject
--- a/basalthook/membership/member.py
+++ b/basalthook/membership/member.py
@@ -17,7 +17,7 @@
 STATES = "alive", "suspect", "dead"
 PING, ACK, PING_REQUEST, NACK, PAGE_REQUEST, PAGE = range(6)
 PROBE_PERIOD, PROBE_TIMEOUT = 5_000, 2_000  # ticks between probes, and until indirect probes start
-INDIRECT_PROBES = 3  # members asked to ping a silent one
+INDIRECT_PROBES = 3  # members that ping a silent one on request
 MAX_WITNESSES = 3  # further witnesses that bring a suspicion to its shortest time-out
 # Shortest time-out of a suspicion, in probe periods, multiplied by log10 of the number of members; and the
 # longest one, as a multiple of the shortest.
@@ -108,7 +108,7 @@
         self.piggyback: dict[str, list] = {}  # name -> [times sent, update]
         self.probe_queue: list[str] = []  # taken from the end
         self.open_requests: dict[int, tuple] = {}  # nonce -> (when, kind, details)
-        self.probe: list | None = None  # [name, nonce, indirect probes, since]
+        self.probe: list | None = None  # [name, nonce, indirect probes sent or "answered", since]
         self.live_names: tuple[str, ...] = ()  # alive or suspect, this one included, sorted
         self.health_penalty = 0  # the local health multiplier
         self.last_tick_at = self.next_probe_at = self.next_dead_probe_at = self.next_page_at = None
--- a/basalthook/membership/wire.py
+++ b/basalthook/membership/wire.py
@@ -10,8 +10,8 @@
 
 import msgpack
 
-VERSION, CHECKSUM_BYTES, MAX_DATAGRAM = 1, 8, 1400
-# no more elements than a datagram has bytes
+VERSION, CHECKSUM_BYTES, MAX_DATAGRAM = 1, 8, 1400  # MAX_DATAGRAM in bytes
+# a list has no more elements than a datagram has bytes
 UNPACK_LIMITS = {
     "max_array_len": MAX_DATAGRAM,
     "max_map_len": 0,
--- a/basalthook/policy/decide.py
+++ b/basalthook/policy/decide.py
@@ -95,7 +95,7 @@
             else:
                 self.mark_unlisted(host)
         self.hosts = {n: h for n, h in self.hosts.items() if h.entry.ready or h.attempts}
-        if self.settings.live_weights:  # a weight is capacity / (1 + transactions held a core)
+        if self.settings.live_weights:  # a weight is capacity / (1 + transactions held per core)
             held = sum(h.capacity * (h.capacity / h.entry.weight - 1) for h in self.hosts.values())
             self.load = held / (sum(h.capacity for h in self.hosts.values()) or 1.0)
         self.rebuild_rankings()
--- a/basalthook/policy/hosts.py
+++ b/basalthook/policy/hosts.py
@@ -16,7 +16,7 @@
 HOST_MINIMUM = 4  # attempts of all proxies that a host may always have open; with fewer it idles between two
 BUSY, OVERLOAD, MAX_FLEET_FACTOR = 1.25, 3.0, 1.5  # slowdown: busy fleet; overloaded host; factor on it
 SPARE, FLOOR_DIVISOR = 0.7, 64  # transactions per core of hosts with room; service goal / latency floor
-# Slowdown: most in the home zone; of a fleet that applies it to hosts; most for spill. Proxies a spill host.
+# Slowdown: maximum at home; fleet's that enforces it by host; maximum to spill to. Proxies per spill host.
 HOME_MAX, FLEET_MIN, SPILL_MAX, SPILL_HOSTS = 2.0, 1.5, 1.5, 3
 BUSY_REACH = 2  # while busy, a key waits for one of its first so many hosts before it goes elsewhere
 # Excess of slow answers that makes a group slow; answers to compare a group by; error rate that bans a host.
--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -32,9 +32,9 @@
 
     A host's claim is -log(u) / weight, u in (0, 1] by a mix of key and hash; each host is first for a part of
     all keys in proportion to its weight. The mix is computed for all hosts in one pass over a long integer
-    with a lane of 128 bits a host. A bound that about `leader_count` claims are below saves the others a
-    logarithm and the sort. Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous",
-    1996; mix of splitmix64.
+    with a lane of 128 bits a host. For `leaders`, only claims below a bound, about `leader_count` of them,
+    need a logarithm and the sort. Source: Thaler and Ravishankar, "A name-based mapping scheme for
+    rendezvous", 1996; mix of splitmix64.
     """
 
     def __init__(self, hosts: list, hashes: list[int], weights: list[float], leader_count: int = 16) -> None:
--- a/basalthook/policy/rules.py
+++ b/basalthook/policy/rules.py
@@ -2,7 +2,7 @@
 
 from . import interface
 
-COLD_KEY_COST = 2.5  # an attempt at a host with no warm keys may cost several times what it costs a warm one
+COLD_KEY_COST = 2.5  # greatest cost of an attempt at a host without warm keys, relative to a warm one
 LATE_START = 500  # ticks after its decision: an attempt that begins later is counted again in a slow start
 
 
@@ -67,9 +67,10 @@
         )
 
     def admits(self, tx, host):
-        """Whether this host may take it: limits, rules, and for a cold host its share in each overload_time.
+        """Whether limits and rules let the host take it; a cold one takes its share in each overload_time.
 
-        A share below one attempt is met by chance: one attempt of each of hundreds of proxies overloads it.
+        A share below one attempt is granted at random: one attempt from each of hundreds of proxies overloads
+        a cold host.
         """
         free = self.allowance.remaining((interface.PER_HOST, host.id), self.now) > len(host.attempts) and (
             self.allowance.remaining(tx.limit_key, self.now) > 0 and self.is_eligible(tx, host.entry)
--- a/basalthook/recovery/policy_state.py
+++ b/basalthook/recovery/policy_state.py
@@ -8,7 +8,7 @@
 from ..policy.interface import HostListReceived
 from ..policy.measure import SlidingWindow
 
-# Stored name -> attribute.
+# Stored name -> attribute of the policy, of a Latency and of a HostState.
 POLICY_FIELDS = {  # restored unchanged
     "quiet_mix": "base_latency",
     "usual_rate": "commit_rate",
@@ -61,7 +61,9 @@
         "strain": host.slowdown,
         "away": {reason: until for reason, until in host.excluded_until.items() if isinstance(reason, str)},
         "away_for": {
-            profiles[kind]: until for kind, until in host.excluded_until.items() if not isinstance(kind, str)
+            profiles[index]: until
+            for index, until in host.excluded_until.items()
+            if not isinstance(index, str)
         },
     }
 
