--- a/basalthook/policy/measure.py
+++ b/basalthook/policy/measure.py
@@ -32,9 +32,9 @@
 
     A host's claim is -log(u) / weight, u in (0, 1] by a mix of key and hash; each host is first for a part of
     all keys in proportion to its weight. The mix is computed for all hosts in one pass over a long integer
-    with a lane of 128 bits a host. A bound that about `leader_count` claims are below saves the others a
-    logarithm and the sort. Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous",
-    1996; mix of splitmix64.
+    with a lane of 128 bits a host. For `leaders`, only claims below a bound, about `leader_count` of them,
+    need a logarithm and the sort. Source: Thaler and Ravishankar, "A name-based mapping scheme for
+    rendezvous", 1996; mix of splitmix64.
     """
 
     def __init__(self, hosts: list, hashes: list[int], weights: list[float], leader_count: int = 16) -> None:
@@ -148,10 +148,10 @@
 
 
 class Allowance:
-    """What limits leave by key: a number without end, and one on top of it until some time; no row, no limit.
+    """What the fleet's limits allow, by key: a count that does not expire, and an additional one that does.
 
-    None as a key's number stands for all that are not named; `aliases` maps keys to the key whose row they
-    share.
+    A key without a row has no limit. A key with None for its host or profile stands for all that are not
+    named; `aliases` maps keys to the key whose row they share.
     """
 
     def __init__(self) -> None:
