--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -301,7 +301,10 @@
     # ---- results of a run
 
     def figures(self, begin: float) -> dict:
-        """Figures on the fleet, from the proxies' logs and the relays; ages and times are in seconds."""
+        """Figures on the fleet; ages and times are in seconds.
+
+        `staleness` compares the proxies' own logs with what the relays saw; messages are counted by the relays.
+        """
         relays, seconds, count = self.relays, self.scenario.seconds, self.scenario.proxies
         staleness, over_age = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
         for at, proxy, event, fields in self.log_events:
