--- a/basalthook/lab/processes.py
+++ b/basalthook/lab/processes.py
@@ -303,7 +303,7 @@
     def figures(self, begin: float) -> dict:
         """Figures on the fleet; ages and times are in seconds.
 
-        `staleness` compares the proxies' own logs with what the relays saw; messages are counted by the relays.
+        `staleness` compares the proxies' own logs with what the relays saw; the relays count the messages.
         """
         relays, seconds, count = self.relays, self.scenario.seconds, self.scenario.proxies
         staleness, over_age = dict.fromkeys(FACT_LIFETIMES, 0.0), 0
